--- a/anisespool/steady.py
+++ b/anisespool/clock.py
@@ -3,7 +3,7 @@
 The wall clock may step by an hour, either way, under a running process and between two of them. So what this
 process writes to the state store, and the ages of what it reads there, go by one steady clock: monotonic time
 plus an epoch, which is taken from the wall clock once and handed on through the store to the next process of
-the same boot (anisespool/state/epoch.py). After a reboot, and where the boot cannot be told, the epoch is the
+the same boot (anisespool/state/clock.py). After a reboot, and where the boot cannot be told, the epoch is the
 wall clock's again.
 
 What other machines date by their wall clocks (starts of servers) may be by any epoch that the wall clock has
--- a/anisespool/config.py
+++ b/anisespool/config.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from anisespool.clock import CLOCK
 from anisespool.errors import ConfigError, ConfigUnreadable
-from anisespool.listing import Address as Address
-from anisespool.listing import Member as Member
-from anisespool.listing import MemberList as MemberList
-from anisespool.listing import Names as Names
-from anisespool.steady import CLOCK
+from anisespool.member_list import Address as Address
+from anisespool.member_list import Member as Member
+from anisespool.member_list import MemberList as MemberList
+from anisespool.member_list import Names as Names
 from shuntlead import Settings, SettingsError
 
 
--- a/anisespool/discovery/channel.py
+++ b/anisespool/discovery/channel.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 from anisespool.config import Address
-from anisespool.kernel import unread
+from anisespool.socket_state import unread
 
 READ_BYTES = 65536
 
--- a/anisespool/discovery/stream.py
+++ b/anisespool/discovery/stream.py
@@ -13,7 +13,7 @@
 from anisespool.config import Address
 from anisespool.discovery.channel import Channel, open_channel
 from anisespool.discovery.deadline import Failure
-from anisespool.discovery.lines import Lines
+from anisespool.discovery.object_decoder import Lines
 from anisespool.errors import DiscoveryFault, DiscoveryRefused, DiscoveryUnreachable
 from anisespool.errors.system import SystemFailure, classify, described
 from anisespool.log import fault
--- a/anisespool/endpoints/attempt.py
+++ b/anisespool/endpoints/attempt.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from anisespool import http1
-from anisespool.flow import Flow
+from anisespool.body_stream import Flow
 from anisespool.telemetry import TELEMETRY
 from shuntlead.interface import Status
 
--- a/anisespool/endpoints/connection.py
+++ b/anisespool/endpoints/connection.py
@@ -8,10 +8,10 @@
 from typing import Protocol
 
 from anisespool import http1
+from anisespool.body_stream import Flow, read_buffer
 from anisespool.endpoints.attempt import Attempt
 from anisespool.endpoints.pool import Pool
-from anisespool.flow import Flow, read_buffer
-from anisespool.kernel import has_events, unacknowledged
+from anisespool.socket_state import has_events, unacknowledged
 from shuntlead.interface import Status
 
 HOLD_S = 0.05  # for an answer of no told length to end: a short one can still be repeated, a long one waits
--- a/anisespool/exchange.py
+++ b/anisespool/exchange.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from anisespool import http1
+from anisespool.body_stream import Flow
 from anisespool.endpoints import Attempt
-from anisespool.flow import Flow
 from anisespool.telemetry import TELEMETRY
 from shuntlead.interface import Status
 
--- a/anisespool/outside.py
+++ b/anisespool/external_state.py
@@ -9,7 +9,7 @@
 from anisespool.log import say
 from anisespool.peers import Peers
 from anisespool.servers import Servers, some
-from anisespool.state.learned import LearnedRow, PinRow, Remembered, VerdictRow
+from anisespool.state.persisted_rows import LearnedRow, PinRow, Remembered, VerdictRow
 from anisespool.state.records import now_ms
 from shuntlead import interface as api
 
--- a/anisespool/fleet/shared.py
+++ b/anisespool/fleet/shared_state.py
@@ -1,5 +1,5 @@
 """Fleet state on the wire: tenants' rates and verdicts on servers, by datagrams between sidecars. The
-decisions are in shuntlead/quotas.py and shuntlead/verdicts.py; docs/fleet-state.md has the bounds."""
+decisions are in shuntlead/quotas.py and shuntlead/outliers.py; docs/fleet-state.md has the bounds."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import time
 from collections.abc import Sequence
 
-from anisespool.fleet.offsets import HALF_RANGE_MS, Offsets, behind_ms
-from anisespool.outside import Outside
+from anisespool.clock import CLOCK
+from anisespool.external_state import Outside
+from anisespool.fleet.clock_offsets import HALF_RANGE_MS, Offsets, behind_ms
 from anisespool.peers import MAX_DATAGRAM, Peers
-from anisespool.steady import CLOCK
-from shuntlead.gossip import decode_reports, encode_reports
 from shuntlead.interface import Status, TenantReport, Verdict
+from shuntlead.peer_codec import decode_reports, encode_reports
 
 OUT, RATES = b"\x04", b"\x05"  # the kinds of datagrams
 _OUT = struct.Struct("<IBB")  # shared id of the server, time left in LEFT_NS, status
--- a/anisespool/fleet/beside.py
+++ b/anisespool/fleet/upgrade_rates.py
@@ -8,9 +8,9 @@
 import os
 
 from anisespool.errors import StoreError
-from anisespool.fleet.shared import clock_ms
+from anisespool.external_state import Outside
+from anisespool.fleet.shared_state import clock_ms
 from anisespool.log import say
-from anisespool.outside import Outside
 from anisespool.state.store import Record, Store
 from shuntlead.interface import TenantReport
 
--- a/anisespool/front/client.py
+++ b/anisespool/front/client_connection.py
@@ -8,8 +8,8 @@
 from time import monotonic
 
 from anisespool import http1
-from anisespool.front.conversation import Conversation
-from anisespool.front.place import Place
+from anisespool.front.http_connection import Conversation
+from anisespool.front.server_interface import Place
 from anisespool.front.shutdown import Stage
 
 
--- a/anisespool/front/reading.py
+++ b/anisespool/front/client_reader.py
@@ -10,9 +10,9 @@
 import time
 from typing import Protocol
 
-from anisespool.front.arrivals import Arrivals
-from anisespool.front.heartbeat import Heartbeat
-from anisespool.kernel import has_events, since_data_ms, unread
+from anisespool.front.arrival_times import Arrivals
+from anisespool.front.stall_detector import Heartbeat
+from anisespool.socket_state import has_events, since_data_ms, unread
 
 LOOK_S = 0.04  # no attempt may begin more than 0.1 s after its client has gone
 
--- a/anisespool/front/conversation.py
+++ b/anisespool/front/http_connection.py
@@ -9,13 +9,13 @@
 from http import HTTPStatus
 
 from anisespool import http1
+from anisespool.body_stream import Flow, read_buffer
 from anisespool.exchange import Answer
-from anisespool.flow import Flow, read_buffer
-from anisespool.front.calls import Arrival, BadCall, after_wait, read_call
-from anisespool.front.outlet import Outlet
-from anisespool.front.place import Front
-from anisespool.front.reading import ClientReading
-from anisespool.front.waits import Waits
+from anisespool.front.client_reader import ClientReading
+from anisespool.front.request_decoding import Arrival, BadCall, after_wait, read_call
+from anisespool.front.response_writer import Outlet
+from anisespool.front.server_interface import Front
+from anisespool.front.timeouts import Waits
 from anisespool.sockets import end_output, set_option
 
 MOST_PIPELINED = 8  # requests read ahead on one connection
--- a/anisespool/front/outlet.py
+++ b/anisespool/front/response_writer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from anisespool import http1
-from anisespool.flow import Flow
+from anisespool.body_stream import Flow
 from anisespool.sockets import set_option
 
 HIGH = 64 * 1024  # bytes that may wait for a client before their source is held
--- a/anisespool/front/server.py
+++ b/anisespool/front/server.py
@@ -12,13 +12,13 @@
 
 from anisespool.config import Address, Names
 from anisespool.errors import NoRoomForClients
-from anisespool.front.client import ClientConnection
-from anisespool.front.conversation import Conversation
-from anisespool.front.heartbeat import Heartbeat
+from anisespool.front.client_connection import ClientConnection
+from anisespool.front.client_reader import Paused
+from anisespool.front.http_connection import Conversation
 from anisespool.front.listener import Acceptor, inherited_listener, open_listener
-from anisespool.front.outlet import HIGH
-from anisespool.front.reading import Paused
+from anisespool.front.response_writer import HIGH
 from anisespool.front.shutdown import Shutdown, Stage
+from anisespool.front.stall_detector import Heartbeat
 from anisespool.log import fault
 from anisespool.sidecar import Sidecar
 from shuntlead import Settings
--- a/anisespool/front/place.py
+++ b/anisespool/front/server_interface.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING, Protocol
 
 from anisespool.config import Names
-from anisespool.front.heartbeat import Heartbeat
-from anisespool.front.reading import Paused
+from anisespool.front.client_reader import Paused
+from anisespool.front.stall_detector import Heartbeat
 from anisespool.sidecar import Sidecar
 from shuntlead import Settings
 
 if TYPE_CHECKING:
-    from anisespool.front.client import ClientConnection
-    from anisespool.front.conversation import Conversation
+    from anisespool.front.client_connection import ClientConnection
+    from anisespool.front.http_connection import Conversation
 
 
 class Front(Protocol):
--- a/anisespool/http1/__init__.py
+++ b/anisespool/http1/__init__.py
@@ -9,8 +9,8 @@
     parse_load,
 )
 from anisespool.http1.messages import MAX_BODY, MAX_HEAD, MAX_LONG, Request, Response
-from anisespool.http1.requests import RequestParser
-from anisespool.http1.responses import ResponseParser
+from anisespool.http1.request_parser import RequestParser
+from anisespool.http1.response_parser import ResponseParser
 
 __all__ = [
     "LAST_CHUNK", "MAX_BODY", "MAX_HEAD", "MAX_LONG", "Request", "RequestParser", "Response",
--- a/anisespool/http1/messages.py
+++ b/anisespool/http1/messages.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from anisespool.flow import Flow
+from anisespool.body_stream import Flow
 
 MAX_BODY = 64 * 1024  # a longer one passes through
 MAX_LONG = 48 * 1024 * 1024  # some more than what the operators' bodies have at most
--- a/anisespool/http1/requests.py
+++ b/anisespool/http1/request_parser.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from anisespool.flow import Flow
+from anisespool.body_stream import Flow
 from anisespool.http1.messages import MAX_BODY, MAX_HEAD, MAX_LONG, Head, Request
 
 # A parser of httptools and its owner here hold each other. Left to the collector, pairs pile up with
--- a/anisespool/list_user.py
+++ b/anisespool/list_updater.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from anisespool.config import Member, MemberList
-from anisespool.decisions import Decisions
+from anisespool.decision_queue import Decisions
 from anisespool.endpoints import Endpoints
 from anisespool.log import say
 from anisespool.servers import Servers
--- a/anisespool/maintenance.py
+++ b/anisespool/maintenance.py
@@ -13,9 +13,9 @@
 
 from anisespool.errors import NotDurable, StoreError
 from anisespool.log import say
-from anisespool.pair import Pair
-from anisespool.state.owed import OwedWrite
+from anisespool.state.pending_writes import OwedWrite
 from anisespool.state.store import Order, Store, now_ms
+from anisespool.upgrade_locks import Pair
 
 FOLLOW_S = 0.05  # between two looks at the store
 MAX_FILE = 1 << 20
--- a/anisespool/peers.py
+++ b/anisespool/peers.py
@@ -14,7 +14,7 @@
 from anisespool.errors.system import described
 from anisespool.log import fault
 from shuntlead import interface as api
-from shuntlead.gossip import decode_peer, encode_peer
+from shuntlead.peer_codec import decode_peer, encode_peer
 
 MAX_DATAGRAM = 256  # a longer one voids the run
 RELEASE = b"\x01"  # of the form of the messages; one that begins otherwise is another release's
--- a/anisespool/servers.py
+++ b/anisespool/servers.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
+from anisespool.clock import SteadyClock
 from anisespool.config import Member, MemberList
 from anisespool.log import say
 from anisespool.peers import shared_id
 from anisespool.state.records import Order
-from anisespool.steady import SteadyClock
 from anisespool.withdrawals import Withdrawals
 from shuntlead.interface import EndpointState, Listed, RosterForm
 
--- a/anisespool/service.py
+++ b/anisespool/service.py
@@ -8,28 +8,28 @@
 from collections.abc import Awaitable, Callable, Iterator
 
 from anisespool.admin import Admin
+from anisespool.admin_commands import Operators
+from anisespool.clock import CLOCK
 from anisespool.config import Address, Config, MemberList
 from anisespool.discovery.watch import Move, Watch
 from anisespool.endpoints import Endpoints
-from anisespool.fleet.beside import BesideRates
-from anisespool.fleet.shared import FleetState
+from anisespool.fleet.shared_state import FleetState
+from anisespool.fleet.upgrade_rates import BesideRates
 from anisespool.front.listener import open_listener, opened
 from anisespool.front.server import Server
 from anisespool.front.shutdown import Shutdown
 from anisespool.limits import log_resources, shares
 from anisespool.log import say
 from anisespool.maintenance import Maintenance
-from anisespool.operators import Operators
-from anisespool.pair import Pair
 from anisespool.sidecar import Sidecar
 from anisespool.sockets import callback_failed
-from anisespool.state.epoch import keep, resume
-from anisespool.state.memory import Memory
-from anisespool.state.snapshot import Entry, ListSnapshot
+from anisespool.state.clock import keep, resume
+from anisespool.state.learned_state import Memory
+from anisespool.state.list_snapshot import Entry, ListSnapshot
+from anisespool.state.peer_lists import WarmStart
 from anisespool.state.store import Store
-from anisespool.state.warm import WarmStart
-from anisespool.steady import CLOCK
 from anisespool.supervision import supervise
+from anisespool.upgrade_locks import Pair
 from anisespool.waiting import first_of
 from shuntlead.interface import Effect, RosterForm
 
--- a/anisespool/sidecar.py
+++ b/anisespool/sidecar.py
@@ -7,17 +7,17 @@
 import time
 from collections.abc import Callable, Mapping
 
+from anisespool.clock import CLOCK
 from anisespool.config import Config
-from anisespool.decisions import Decisions
+from anisespool.decision_queue import Decisions
 from anisespool.endpoints import Attempt, Endpoints
 from anisespool.exchange import ANSWER_RESERVE_NS, Answer, Call, Exchange, Exchanges
-from anisespool.list_user import ListUser
+from anisespool.external_state import Outside
+from anisespool.list_updater import ListUser
 from anisespool.log import say
-from anisespool.outside import Outside
 from anisespool.peers import Peers
 from anisespool.servers import Servers
 from anisespool.state.records import Order
-from anisespool.steady import CLOCK
 from anisespool.telemetry import TELEMETRY
 from shuntlead import Balancer
 from shuntlead import interface as api
--- a/anisespool/state/epoch.py
+++ b/anisespool/state/clock.py
@@ -8,10 +8,10 @@
 import json
 from pathlib import Path
 
+from anisespool.clock import SteadyClock
 from anisespool.errors import StoreError
 from anisespool.state.records import log
 from anisespool.state.store import Record, Store
-from anisespool.steady import SteadyClock
 
 KIND = "clock"
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
--- a/anisespool/state/connections.py
+++ b/anisespool/state/connections.py
@@ -8,7 +8,7 @@
 
 from anisespool.errors import StoreError
 from anisespool.state import tables
-from anisespool.state.guard import LOADS_BEFORE_ASIDE, LoadGuard, set_aside
+from anisespool.state.crash_guard import LOADS_BEFORE_ASIDE, LoadGuard, set_aside
 
 _CONTENTION = sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED
 _PRIMARY = 0xFF  # of an extended error code of SQLite
--- a/anisespool/state/memory.py
+++ b/anisespool/state/learned_state.py
@@ -8,14 +8,14 @@
 import json
 from contextlib import suppress
 
+from anisespool.clock import CLOCK
 from anisespool.errors import StoreError
+from anisespool.external_state import Outside
 from anisespool.log import say
-from anisespool.outside import Outside
-from anisespool.pair import Pair
-from anisespool.state.learned import LearnedRow, PinRow, Remembered, VerdictRow
-from anisespool.state.owed import OwedRecords, OwedWrite
+from anisespool.state.pending_writes import OwedRecords, OwedWrite
+from anisespool.state.persisted_rows import LearnedRow, PinRow, Remembered, VerdictRow
 from anisespool.state.store import Record, Store, now_ms
-from anisespool.steady import CLOCK
+from anisespool.upgrade_locks import Pair
 from shuntlead.interface import Status
 
 SNAPSHOT_S = 1.0  # between two writes of what was learned: the most of it that a crash loses
--- a/anisespool/state/snapshot.py
+++ b/anisespool/state/list_snapshot.py
@@ -13,7 +13,7 @@
 from anisespool.config import MemberList, Names
 from anisespool.errors import StoreError
 from anisespool.log import say
-from anisespool.state.owed import OwedWrite
+from anisespool.state.pending_writes import OwedWrite
 from anisespool.state.store import ListHead, Store
 
 Entry = dict[str, Any]
--- a/anisespool/state/warm.py
+++ b/anisespool/state/peer_lists.py
@@ -16,9 +16,9 @@
 import zlib
 from collections.abc import Callable, Sequence
 
-from anisespool.outside import Outside
+from anisespool.external_state import Outside
 from anisespool.peers import MAX_DATAGRAM, Peers
-from shuntlead.verdicts import quorum
+from shuntlead.outliers import quorum
 
 ASK, PART = b"\x02", b"\x03"  # the kinds of datagrams
 _ASK = struct.Struct("<II?")  # nonce, digest of what the asker's list has as up, whether it wants sightings
--- a/anisespool/state/records.py
+++ b/anisespool/state/records.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
+from anisespool.clock import CLOCK
 from anisespool.log import say
-from anisespool.steady import CLOCK
 
 
 class Order(NamedTuple):
--- a/anisespool/state/store.py
+++ b/anisespool/state/store.py
@@ -3,8 +3,8 @@
 Shape: table `orders(sidecar, server, out, at_ms)`, one row a server, the later order holding; tables
 `list_heads(sidecar, revision, at_ms, etag)` and `list_rows(sidecar, server, body)`, the last list of
 discovery, each server in discovery's own JSON form; table `records(sidecar, kind, id, at_ms, until_ms,
-body)`, what was learned (anisespool/state/memory.py) and the clock that dates it all
-(anisespool/state/epoch.py), each row void after `until_ms`. `PRAGMA user_version`
+body)`, what was learned (anisespool/state/learned_state.py) and the clock that dates it all
+(anisespool/state/clock.py), each row void after `until_ms`. `PRAGMA user_version`
 is the schema; a file of schema 1 gains the table `lists`, and the others do not change the schema, so that a
 release without them still reads what it knows. Each row carries its writer's sidecar name, and all but those
 of `list_rows` its Unix time in ms. The file is in WAL mode with `synchronous=FULL`, so a commit has reached
--- a/anisespool/withdrawals.py
+++ b/anisespool/withdrawals.py
@@ -22,8 +22,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from anisespool.listing import Member
-from shuntlead.verdicts import quorum
+from anisespool.member_list import Member
+from shuntlead.outliers import quorum
 
 FOLLOW_S = 30.0  # a list is some seconds late at most, 15 with some to spare; twice that
 FOLLOW_NS = int(FOLLOW_S * 1e9)
--- a/shuntlead/logic.py
+++ b/shuntlead/balancer.py
@@ -1,5 +1,5 @@
 """Every decision of the balancer: the thin one, which passes each event (shuntlead/interface) to its rooms.
-First attempts and retries use the same draw (shuntlead/draw.py); a request has one attempt at a time.
+First attempts and retries use the same draw (shuntlead/selection.py); a request has one attempt at a time.
 It writes Pending and Attempt records."""
 
 from __future__ import annotations
@@ -8,17 +8,17 @@
 from typing import Any
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk
-from shuntlead.draw import Draw
+from shuntlead.context import Desk
 from shuntlead.estimates import Estimates
 from shuntlead.interface import NEVER_RAN, Effect, RosterForm, Status
 from shuntlead.keys import Keys
 from shuntlead.learning import Learning
 from shuntlead.members import Members
+from shuntlead.peer_exchange import Talk
 from shuntlead.records import Attempt, Endpoint, Pending
 from shuntlead.retries import Retries
+from shuntlead.selection import Draw
 from shuntlead.shedding import Shedding
-from shuntlead.talk import Talk
 from shuntlead.tenants import Tenants
 
 HOLD_TRIES = 20  # a request with no eligible endpoint looks again this often within its target
--- a/shuntlead/estimates.py
+++ b/shuntlead/estimates.py
@@ -7,7 +7,7 @@
 from math import exp2
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk
+from shuntlead.context import Desk
 from shuntlead.interface import Status
 from shuntlead.records import Endpoint, Pending
 
--- a/shuntlead/interface/__init__.py
+++ b/shuntlead/interface/__init__.py
@@ -23,6 +23,14 @@
     TellVerdicts,
     Watch,
 )
+from shuntlead.interface.enums import (
+    MAX_SIGHTINGS,
+    NEVER_RAN,
+    Effect,
+    EndpointState,
+    RosterForm,
+    Status,
+)
 from shuntlead.interface.events import (
     Beside,
     BodyMoved,
@@ -54,14 +62,6 @@
     SettingsError,
     Tenant,
 )
-from shuntlead.interface.words import (
-    MAX_SIGHTINGS,
-    NEVER_RAN,
-    Effect,
-    EndpointState,
-    RosterForm,
-    Status,
-)
 
 __all__ = [
     "MAX_SIGHTINGS",
--- a/shuntlead/interface/events.py
+++ b/shuntlead/interface/events.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple, Union
 
-from shuntlead.interface.words import RosterForm, Status
+from shuntlead.interface.enums import RosterForm, Status
 
 
 class Listed(NamedTuple):
--- a/shuntlead/interface/settings.py
+++ b/shuntlead/interface/settings.py
@@ -5,7 +5,7 @@
 from math import isfinite
 from typing import Any, NamedTuple
 
-from shuntlead.interface.words import Effect
+from shuntlead.interface.enums import Effect
 
 
 class SettingsError(ValueError):
--- a/shuntlead/learning.py
+++ b/shuntlead/learning.py
@@ -4,13 +4,13 @@
 
 from __future__ import annotations
 
-from shuntlead.desk import Desk
-from shuntlead.draw import Draw
+from shuntlead.context import Desk
 from shuntlead.estimates import MAX_SLOWDOWN, Estimates
 from shuntlead.interface import Status
+from shuntlead.peer_exchange import Talk
 from shuntlead.records import Attempt, Endpoint, Pending
+from shuntlead.selection import Draw
 from shuntlead.shedding import STRAIN_ALPHA, Shedding
-from shuntlead.talk import Talk
 
 
 class Learning:
--- a/shuntlead/members.py
+++ b/shuntlead/members.py
@@ -9,12 +9,12 @@
 from operator import attrgetter
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk
+from shuntlead.context import Desk
 from shuntlead.estimates import Estimates
 from shuntlead.interface import EndpointState, RosterForm, Status
+from shuntlead.outliers import MOST_EJECTED, Verdicts
 from shuntlead.records import Endpoint
 from shuntlead.shedding import Shedding
-from shuntlead.verdicts import MOST_EJECTED, Verdicts
 
 SUSPECT = 4.0  # usual response times that a server is taken to need by one peer's verdict
 VERDICT_REPEATS, VERDICT_REPEAT_NS = 5, 90_000_000  # a verdict is told so often, as datagrams get lost
--- a/shuntlead/talk.py
+++ b/shuntlead/peer_exchange.py
@@ -7,7 +7,7 @@
 from heapq import nlargest
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk
+from shuntlead.context import Desk
 from shuntlead.estimates import Estimates
 from shuntlead.members import Members
 from shuntlead.records import Endpoint
--- a/shuntlead/records.py
+++ b/shuntlead/records.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk, mix
+from shuntlead.context import Desk, mix
 from shuntlead.interface import EndpointState
 
 HOLD_SHARE = 0.4  # of a request's time: refused then, its client still has the time for a retry
--- a/shuntlead/retries.py
+++ b/shuntlead/retries.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk
+from shuntlead.context import Desk
 from shuntlead.interface import Effect
 from shuntlead.records import Pending
 
--- a/shuntlead/draw.py
+++ b/shuntlead/selection.py
@@ -6,7 +6,7 @@
 
 from math import exp2, floor
 
-from shuntlead.desk import Desk, mix
+from shuntlead.context import Desk, mix
 from shuntlead.estimates import Estimates
 from shuntlead.keys import Keys
 from shuntlead.rate import Rate
--- a/shuntlead/shedding.py
+++ b/shuntlead/shedding.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from math import exp2, sqrt
 
-from shuntlead.desk import Desk
+from shuntlead.context import Desk
 from shuntlead.estimates import Estimates
 from shuntlead.rate import Rate
 from shuntlead.records import Endpoint, Pending
--- a/shuntlead/simhost.py
+++ b/shuntlead/simhost.py
@@ -8,7 +8,7 @@
 
 from shuntlead import interface as api
 from shuntlead import wire
-from shuntlead.logic import Balancer
+from shuntlead.balancer import Balancer
 
 
 class Host:
--- a/shuntlead/tenants.py
+++ b/shuntlead/tenants.py
@@ -5,9 +5,9 @@
 from __future__ import annotations
 
 from shuntlead import interface as api
-from shuntlead.desk import Desk
-from shuntlead.gossip import most_reports
+from shuntlead.context import Desk
 from shuntlead.members import Members
+from shuntlead.peer_codec import most_reports
 from shuntlead.quotas import TELL_NS, Quotas
 from shuntlead.records import Pending
 from shuntlead.shedding import Shedding
--- a/shuntlead/wire.py
+++ b/shuntlead/wire.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Union
 
 from shuntlead import interface as api
-from shuntlead.gossip import decode_peer, decode_reports, encode_peer, encode_reports
+from shuntlead.peer_codec import decode_peer, decode_reports, encode_peer, encode_reports
 
 BATCH_HEADER = struct.Struct("<IIQ")
 CLOCK_BYTES = 8  # the clock follows the length field and is counted by it
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from shuntlead import interface as api
-from shuntlead.logic import Balancer
+from shuntlead.balancer import Balancer
 from tests.support import MS, SECOND, listed, settings
 
 WAIT_NS, DEADLINE_NS = 30 * MS, 1 * SECOND  # what an answer takes beside the work; its longest
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -10,15 +10,15 @@
 
 from anisespool import http1
 from anisespool.config import Config, load
-from anisespool.discovery.lines import Lines
+from anisespool.discovery.object_decoder import Lines
 from anisespool.endpoints import Endpoints
 from anisespool.limits import shares
 from anisespool.maintenance import Maintenance
-from anisespool.pair import Pair
 from anisespool.sidecar import Sidecar
-from anisespool.state.memory import Memory
-from anisespool.state.snapshot import ListSnapshot
+from anisespool.state.learned_state import Memory
+from anisespool.state.list_snapshot import ListSnapshot
 from anisespool.state.store import ListHead, Store
+from anisespool.upgrade_locks import Pair
 from shuntlead.interface import RosterForm
 from tests.net import member_list, settings_json
 from tests.scale.listing import HEAD, SKUS, ZONES, Row, chunk
--- a/tests/scale/job.py
+++ b/tests/scale/job.py
@@ -17,7 +17,7 @@
 
 from anisespool.peers import RELEASE, shared_id
 from shuntlead import interface as api
-from shuntlead.gossip import encode_peer
+from shuntlead.peer_codec import encode_peer
 from tests.scale.decider import Decider
 from tests.scale.hollow import Hollow, read_config, write_config
 from tests.scale.listing import Listing, line
--- a/tests/scale_fleet/datagrams.py
+++ b/tests/scale_fleet/datagrams.py
@@ -10,15 +10,15 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from anisespool.fleet.shared import verdicts_datagrams
+from anisespool.fleet.shared_state import verdicts_datagrams
 from anisespool.peers import MAX_DATAGRAM, RELEASE, shared_id
-from anisespool.state import warm
-from shuntlead.draw import FEWEST
-from shuntlead.gossip import encode_peer
+from anisespool.state import peer_lists
 from shuntlead.interface import MAX_SIGHTINGS, Sighting, Status, Verdict
 from shuntlead.members import VERDICT_AGAIN_NS, VERDICT_REPEAT_NS, VERDICT_REPEATS
-from shuntlead.talk import PEERS
-from shuntlead.verdicts import BASE_NS, Verdicts, quorum
+from shuntlead.outliers import BASE_NS, Verdicts, quorum
+from shuntlead.peer_codec import encode_peer
+from shuntlead.peer_exchange import PEERS
+from shuntlead.selection import FEWEST
 from tests.scale_fleet.course import late
 from tests.scale_fleet.lines import ZONES
 
@@ -126,24 +126,24 @@
 
 def warm_start(size: int, loss: float, seed: int, starts: int = 1000) -> Warm:
     draw, up = random.Random(seed), [shared_id(f"s-{seed}-{n}") for n in range(size)]
-    answer = warm.parts(1, 1, up)
-    bounds = [warm._PART.unpack_from(data[1:])[4:] for data in answer]
+    answer = peer_lists.parts(1, 1, up)
+    bounds = [peer_lists._PART.unpack_from(data[1:])[4:] for data in answer]
     covered = sum(any(low <= n <= high for low, high in bounds) for n in up) / size
     if any(next_low != high + 1 for (_, high), (next_low, _) in pairwise(bounds)):
         raise ValueError("parts that do not meet")
     answer_bytes = sum(len(data) + HEADER_BYTES for data in answer)
     ready = sum(_whole_answers(draw, len(answer), loss) >= quorum(size) for _ in range(starts)) / starts
-    each = min(warm.MOST_IDS, size) / (1 << 16)
-    return Warm(size, len(answer), answer_bytes, covered, sum(warm.ASKED) * answer_bytes, ready, each)
+    each = min(peer_lists.MOST_IDS, size) / (1 << 16)
+    return Warm(size, len(answer), answer_bytes, covered, sum(peer_lists.ASKED) * answer_bytes, ready, each)
 
 
 def _whole_answers(draw: random.Random, count: int, loss: float) -> int:
     """Of the peers that are asked in rounds, those whose every part is there in time. One way to them, one
     back."""
     whole = 0
-    for turn, asked in enumerate(warm.ASKED):
+    for turn, asked in enumerate(peer_lists.ASKED):
         for _ in range(asked):
             ways = [draw.random() >= loss for _ in range(1 + count)]
             took_s = draw.uniform(0.001, DELAY_S) + max(draw.uniform(0.001, DELAY_S) for _ in range(count))
-            whole += all(ways) and turn * warm.ROUND_S + took_s <= warm.WAIT_S
+            whole += all(ways) and turn * peer_lists.ROUND_S + took_s <= peer_lists.WAIT_S
     return whole
--- a/tests/scale_fleet/gossip_scenarios.py
+++ b/tests/scale_fleet/gossip_scenarios.py
@@ -4,7 +4,7 @@
 
 import statistics
 
-from shuntlead.gossip import most_reports
+from shuntlead.peer_codec import most_reports
 from shuntlead.quotas import FEW, FRESH_NS, TELL_NS
 from tests.scale_fleet import collisions, datagrams, tenants
 from tests.scale_fleet.lines import BUDGET_BYTES_S
--- a/tests/scale_fleet/list_cost.py
+++ b/tests/scale_fleet/list_cost.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from anisespool.config import Address, load
-from anisespool.discovery.lines import Lines
+from anisespool.discovery.object_decoder import Lines
 from anisespool.endpoints import Endpoints
 from anisespool.sidecar import Sidecar
 from tests.net import member, member_list, write_config
--- a/tests/scale_fleet/tenants.py
+++ b/tests/scale_fleet/tenants.py
@@ -6,8 +6,8 @@
 import random
 from typing import NamedTuple
 
-from anisespool.fleet.shared import RATES
-from shuntlead.gossip import decode_reports, encode_reports, most_reports
+from anisespool.fleet.shared_state import RATES
+from shuntlead.peer_codec import decode_reports, encode_reports, most_reports
 from shuntlead.quotas import FEW, FRESH_NS, TELL_NS, Quotas
 from tests.scale_fleet.datagrams import HEADER_BYTES
 from tests.support import settings
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -41,8 +41,8 @@
     time.time_ns = stepped_ns
     time.time = lambda: stepped_ns() / 1e9
     from anisespool.__main__ import main
-    from anisespool.state import epoch
+    from anisespool.state import clock
 
     if os.environ.get(NO_BOOT_ID):
-        epoch.BOOT_ID = Path(os.environ[STEP_FILE] + ".none")
+        clock.BOOT_ID = Path(os.environ[STEP_FILE] + ".none")
     sys.exit(main())
--- a/tests/support.py
+++ b/tests/support.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from shuntlead import interface as api
+from shuntlead.balancer import Balancer
 from shuntlead.interface import Settings
-from shuntlead.logic import Balancer
 from shuntlead.records import Pending
 
 MS = 1_000_000
--- a/tests/test_accept_failures.py
+++ b/tests/test_accept_failures.py
@@ -13,7 +13,7 @@
 
 from anisespool import admin
 from anisespool.config import Address
-from anisespool.front import listener, server, waits
+from anisespool.front import listener, server, timeouts
 from tests.net import Endpoint, exchange, raw_call, read_response, until, world
 from tests.planned_end import end_now
 from tests.syscalls import FailingCall, is_accepted_at, listens_at, take_and_drop
@@ -36,7 +36,7 @@
 @pytest.fixture(autouse=True)
 def clients_may_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """So that none is ended for its silence, which would look the same."""
-    monkeypatch.setattr(waits, "WAIT_S", 60.0)
+    monkeypatch.setattr(timeouts, "WAIT_S", 60.0)
 
 
 async def is_served(address: Address) -> bool:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,7 +12,7 @@
 
 from anisespool.config import Address
 from anisespool.endpoints import endpoints
-from anisespool.front import waits
+from anisespool.front import timeouts
 from tests.net import Endpoint, exchange, raw_call, read_response, reset, until, world
 from tests.syscalls import no_traceback
 from tests.test_admin import call
@@ -66,7 +66,7 @@
 ) -> None:
     """With a shorter wait for a request, that a busy machine makes no difference; tests/test_crowds.py holds
     the real one against the 3 s."""
-    monkeypatch.setattr(waits, "WAIT_S", 0.75)
+    monkeypatch.setattr(timeouts, "WAIT_S", 0.75)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         assert (await exchange(it.address, raw_call())).status == 200
         service = it.service
--- a/tests/test_clock_offsets.py
+++ b/tests/test_clock_offsets.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from anisespool.fleet.offsets import EARLY_MS, LATE_MS, SETTLE_S, Offsets
+from anisespool.fleet.clock_offsets import EARLY_MS, LATE_MS, SETTLE_S, Offsets
 from shuntlead.quotas import TELL_NS
 from tests.fleet import fleet
 from tests.net import Endpoint, TellingDiscovery, member, member_list
--- a/tests/test_clock_starts.py
+++ b/tests/test_clock_starts.py
@@ -10,10 +10,10 @@
 
 import pytest
 
+from anisespool.clock import SteadyClock
 from anisespool.config import Address, Member, MemberList
 from anisespool.servers import LATEST_LIST_NS, Servers
 from anisespool.state.records import Order
-from anisespool.steady import SteadyClock
 from shuntlead.interface import EndpointState, Listed, RosterForm
 from tests.net import Endpoint, TellingDiscovery, member, member_list
 from tests.support import MS, SECOND, raw_settings
--- a/tests/test_clock_store.py
+++ b/tests/test_clock_store.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from anisespool.state import epoch
-from anisespool.state.epoch import keep, resume
+from anisespool.clock import MOST_EPOCHS, SteadyClock
+from anisespool.state import clock
+from anisespool.state.clock import keep, resume
 from anisespool.state.store import Record, Store, now_ms, place
-from anisespool.steady import MOST_EPOCHS, SteadyClock
 from tests.support import SECOND
 from tests.test_maintenance import Process
 from tests.test_wall_clock import STEPS_S
@@ -55,7 +55,7 @@
     boot_id = tmp_path / "boot_id"
     if boot:
         boot_id.write_text(boot)
-    monkeypatch.setattr(epoch, "BOOT_ID", boot_id)
+    monkeypatch.setattr(clock, "BOOT_ID", boot_id)
     step(monkeypatch, 5.0)
     following = SteadyClock()
     wall_ns = following.epoch_ns
@@ -80,7 +80,7 @@
 async def test_a_clock_of_no_form_is_left_out(
     store: Store, body: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    await store.put([Record(epoch.KIND, epoch.boot_id(), now_ms(), now_ms() + AHEAD_MS, body)])
+    await store.put([Record(clock.KIND, clock.boot_id(), now_ms(), now_ms() + AHEAD_MS, body)])
     following = SteadyClock()
     resume(following, store)
     assert not following.is_continued
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -14,7 +14,7 @@
 
 from anisespool.config import Address, load
 from anisespool.endpoints import Endpoints
-from anisespool.front import listener, server, waits
+from anisespool.front import listener, server, timeouts
 from anisespool.sidecar import Sidecar
 from shuntlead.interface import RosterForm
 from tests.net import (
@@ -85,9 +85,9 @@
 async def test_a_peer_that_brings_no_request_is_ended_and_one_that_waits_for_its_answer_is_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert waits.WAIT_S + 2 * server.SWEEP_S < 3  # what such a peer is owed
-    monkeypatch.setattr(waits, "WAIT_S", 0.1)
-    monkeypatch.setattr(waits, "BODY_GRACE_S", 0.1)
+    assert timeouts.WAIT_S + 2 * server.SWEEP_S < 3  # what such a peer is owed
+    monkeypatch.setattr(timeouts, "WAIT_S", 0.1)
+    monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_S", 0.01)
     release = asyncio.Event()
     async with Endpoint(held_until(release)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
@@ -207,8 +207,8 @@
 async def test_a_client_that_reads_no_answers_is_ended_before_they_fill_the_memory(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(waits, "WAIT_S", 0.1)
-    monkeypatch.setattr(waits, "BODY_GRACE_S", 0.1)
+    monkeypatch.setattr(timeouts, "WAIT_S", 0.1)
+    monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_S", 0.01)
     asked, body = 1000, b"x" * 65536
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,7 +17,7 @@
 
 from anisespool.config import Address, MemberList, load
 from anisespool.discovery import clock, watch
-from anisespool.discovery.lines import Lines
+from anisespool.discovery.object_decoder import Lines
 from anisespool.discovery.watch import Move
 from tests.net import (
     SLACK_S,
--- a/tests/test_disk_ends.py
+++ b/tests/test_disk_ends.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from anisespool import pair
+from anisespool import upgrade_locks
 from anisespool.config import Address, load
-from anisespool.outside import Outside
-from anisespool.pair import Pair
+from anisespool.external_state import Outside
 from anisespool.servers import Servers
 from anisespool.service import Service
-from anisespool.state import owed, tables
-from anisespool.state.learned import PinRow
-from anisespool.state.memory import PIN, Memory
+from anisespool.state import pending_writes, tables
+from anisespool.state.learned_state import PIN, Memory
+from anisespool.state.persisted_rows import PinRow
 from anisespool.state.records import Record, now_ms
 from anisespool.state.store import Order, Store, place
+from anisespool.upgrade_locks import Pair
 from tests.disk import FULL, FailingDisk, failing_disk, stored_orders
 from tests.net import TellingDiscovery, free_port, member, member_list, until, write_config
 from tests.test_admin import call
@@ -59,7 +59,7 @@
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     """The disk has recovered since the last attempt, and the next one is not due yet."""
-    monkeypatch.setattr(owed, "RETRY_FIRST_S", 3600.0)
+    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 3600.0)
     lines: list[str] = []
 
     def log() -> str:
@@ -185,8 +185,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     """Else the other process of an upgrade never learns of this one, and does not follow its orders."""
-    monkeypatch.setattr(pair, "LOOK_S", 0.01)
-    monkeypatch.setattr(pair, "REOPEN_S", 0.01, raising=False)
+    monkeypatch.setattr(upgrade_locks, "LOOK_S", 0.01)
+    monkeypatch.setattr(upgrade_locks, "REOPEN_S", 0.01, raising=False)
     folder = tmp_path / "later"
     late = Pair(folder, "n0")
     following = asyncio.create_task(late.follow())
--- a/tests/test_drain_hearsay.py
+++ b/tests/test_drain_hearsay.py
@@ -13,8 +13,8 @@
 from anisespool.exchange import Answer, Call
 from anisespool.peers import shared_id
 from anisespool.sidecar import Sidecar
+from anisespool.state.peer_lists import TOP
 from anisespool.state.records import Order
-from anisespool.state.warm import TOP
 from shuntlead import interface as api
 from shuntlead.interface import RosterForm, Status
 from tests.net import Endpoint, member, member_list, until, write_config
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -13,8 +13,8 @@
 
 from anisespool.config import MemberList
 from anisespool.errors import NotDurable
-from anisespool.state import owed, tables
-from anisespool.state.snapshot import ListSnapshot
+from anisespool.state import pending_writes, tables
+from anisespool.state.list_snapshot import ListSnapshot
 from anisespool.state.store import Order, Store, now_ms, place
 from tests.disk import (
     CORRUPT,
@@ -43,8 +43,8 @@
 
 @pytest.fixture(autouse=True)
 def _fast_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(owed, "RETRY_FIRST_S", 0.01)
-    monkeypatch.setattr(owed, "RETRY_MOST_S", 0.05)
+    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 0.01)
+    monkeypatch.setattr(pending_writes, "RETRY_MOST_S", 0.05)
 
 
 def orders(folder: Path) -> dict[str, bool]:
@@ -113,8 +113,8 @@
 async def test_the_retries_are_paced_and_logged_once(
     tmp_path: Path, disk: FailingDisk, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(owed, "RETRY_FIRST_S", 0.02)
-    monkeypatch.setattr(owed, "RETRY_MOST_S", 0.16)
+    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 0.02)
+    monkeypatch.setattr(pending_writes, "RETRY_MOST_S", 0.16)
     process = Process(tmp_path, locks=tmp_path)
     async with running(process.it.follow()):
         disk.fail(FULL)
--- a/tests/test_failing_records.py
+++ b/tests/test_failing_records.py
@@ -10,14 +10,14 @@
 import pytest
 
 from anisespool.config import MemberList
-from anisespool.outside import Outside
-from anisespool.pair import Pair
+from anisespool.external_state import Outside
 from anisespool.servers import Servers
-from anisespool.state import memory, owed
-from anisespool.state.learned import LearnedRow, PinRow, Remembered
-from anisespool.state.memory import Memory
-from anisespool.state.snapshot import ListSnapshot
+from anisespool.state import learned_state, pending_writes
+from anisespool.state.learned_state import Memory
+from anisespool.state.list_snapshot import ListSnapshot
+from anisespool.state.persisted_rows import LearnedRow, PinRow, Remembered
 from anisespool.state.store import Store, now_ms
+from anisespool.upgrade_locks import Pair
 from tests.disk import FULL, IO_ERROR, FailingDisk, failing_disk, running
 from tests.net import member, member_list, until
 from tests.test_maintenance import ADDRESS
@@ -34,8 +34,8 @@
 
 @pytest.fixture(autouse=True)
 def _fast_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(owed, "RETRY_FIRST_S", 0.01)
-    monkeypatch.setattr(owed, "RETRY_MOST_S", 0.05)
+    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 0.01)
+    monkeypatch.setattr(pending_writes, "RETRY_MOST_S", 0.05)
 
 
 def _memory(store: Store, folder: Path, learned: list[LearnedRow]) -> Memory:
@@ -55,7 +55,7 @@
 async def test_pins_and_what_was_learned_are_stored_once_the_disk_recovers_and_while_they_bind(
     tmp_path: Path, disk: FailingDisk, store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(memory, "SNAPSHOT_S", 0.02)
+    monkeypatch.setattr(learned_state, "SNAPSHOT_S", 0.02)
     now = now_ms()
     it = _memory(store, tmp_path, [LearnedRow("s-0", 1.5, 0.0, now)])
     async with running(it.follow()):
@@ -65,8 +65,8 @@
         it.pin(PinRow(99, 1, 0, 2, now + 1))  # over by the time that the disk recovers
         await until(lambda: disk.failures >= 4)
         disk.recover()
-        await until(lambda: len(store.records(memory.PIN)) == 5)
-        await until(lambda: [r.id for r in store.records(memory.LEARNED)] == ["s-0"])
+        await until(lambda: len(store.records(learned_state.PIN)) == 5)
+        await until(lambda: [r.id for r in store.records(learned_state.LEARNED)] == ["s-0"])
     with closing(sqlite3.connect(store.path)) as connection:
         assert connection.execute("SELECT count(*) FROM records WHERE kind = 'pin'").fetchone() == (5,)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from anisespool.fleet.shared import RATES, clock_ms, verdicts_datagrams
+from anisespool.fleet.shared_state import RATES, clock_ms, verdicts_datagrams
 from anisespool.peers import QUIET_S, shared_id
-from shuntlead.gossip import encode_reports
 from shuntlead.interface import Status, TenantReport, Verdict
 from shuntlead.members import VERDICT_AGAIN_NS
+from shuntlead.peer_codec import encode_reports
 from shuntlead.quotas import FRESH_NS, LEAST_PART
 from tests.fleet import Fleet, fleet
 from tests.net import OK, Endpoint, TellingDiscovery, member, member_list, reset
--- a/tests/test_gone_sockets.py
+++ b/tests/test_gone_sockets.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from anisespool.front import server, waits
+from anisespool.front import server, timeouts
 from tests.net import OK, Endpoint, World, exchange, raw_call, read_head, until, world
 from tests.planned_end import end_now
 from tests.syscalls import FailingCall, Matches, ShortCall, is_accepted_at, is_connected_to, no_traceback
@@ -67,8 +67,8 @@
 @pytest.fixture
 def hurried(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that bring half a request are ended soon."""
-    monkeypatch.setattr(waits, "WAIT_S", 0.1)
-    monkeypatch.setattr(waits, "BODY_GRACE_S", 0.1)
+    monkeypatch.setattr(timeouts, "WAIT_S", 0.1)
+    monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_S", 0.01)
 
 
@@ -97,8 +97,8 @@
         client = socket.create_connection(it.address)
         client.sendall(HALF)
         await until(lambda: any(c.stage == "half-written" for c in it.service._server.connections))
-        monkeypatch.setattr(waits, "WAIT_S", 0.0)
-        monkeypatch.setattr(waits, "BODY_GRACE_S", 0.0)
+        monkeypatch.setattr(timeouts, "WAIT_S", 0.0)
+        monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.0)
         (connection,) = it.service._server.connections
         client.close()
         connection.end_if_late(asyncio.get_running_loop().time())  # in the turn in which it closed
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,7 +6,7 @@
 import time
 
 from anisespool.config import Address
-from anisespool.discovery.lines import Lines
+from anisespool.discovery.object_decoder import Lines
 from tests.net import member, member_list
 
 PIECE = 1448  # bytes: a segment of TCP
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -13,7 +13,7 @@
 
 from anisespool.config import Address
 from anisespool.endpoints import endpoints
-from anisespool.front import server, waits
+from anisespool.front import server, timeouts
 from tests.net import (
     OK,
     Endpoint,
@@ -204,8 +204,8 @@
 async def test_a_client_that_stops_in_the_midst_of_its_body_is_ended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(waits, "BODY_GRACE_S", 0.1)
-    monkeypatch.setattr(waits, "BODY_RATE", 1e6)
+    monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
+    monkeypatch.setattr(timeouts, "BODY_RATE", 1e6)
     monkeypatch.setattr(server, "SWEEP_S", 0.01)
     async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -16,7 +16,7 @@
 
 from anisespool.config import Address
 from anisespool.endpoints import endpoints
-from anisespool.front import server, waits
+from anisespool.front import server, timeouts
 from tests.net import (
     Endpoint,
     free_port,
@@ -149,7 +149,7 @@
 async def test_a_client_that_stops_reading_is_ended_and_its_server_let_go(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(waits, "STALL_S", 0.1)
+    monkeypatch.setattr(timeouts, "STALL_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_S", 0.01)
     ended = []
 
--- a/tests/test_long_turns.py
+++ b/tests/test_long_turns.py
@@ -10,7 +10,7 @@
 import pytest
 
 from anisespool.exchange import Call
-from anisespool.front.calls import Arrival, BadCall, after_wait
+from anisespool.front.request_decoding import Arrival, BadCall, after_wait
 from anisespool.http1 import Request
 from tests.drains import scene
 from tests.net import member_list, read_response, until
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from anisespool import pair
+from anisespool import upgrade_locks
 from anisespool.config import Address, Member, load
 from anisespool.endpoints import Endpoints
 from anisespool.errors import NotDurable
 from anisespool.exchange import Answer, Call
 from anisespool.maintenance import Maintenance, Order
-from anisespool.pair import Pair
 from anisespool.sidecar import Sidecar
 from anisespool.state.store import Store
+from anisespool.upgrade_locks import Pair
 from shuntlead.interface import Listed, RosterForm
 from tests.net import (
     OK,
@@ -80,8 +80,8 @@
 ) -> None:
     """With looks at the locks that are further apart than those at the store, and a wait that a busy machine
     does not eat up."""
-    monkeypatch.setattr(pair, "LOOK_S", 0.4)
-    monkeypatch.setattr(pair, "KNOWN_S", 1.5)
+    monkeypatch.setattr(upgrade_locks, "LOOK_S", 0.4)
+    monkeypatch.setattr(upgrade_locks, "KNOWN_S", 1.5)
     old = Process(tmp_path, locks=tmp_path)
     following = [asyncio.create_task(work) for work in (old.pair.follow(), old.it.follow())]
     await asyncio.sleep(0)  # its first look is over
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -46,7 +46,7 @@
             elif isinstance(node, ast.ImportFrom):
                 imported.add(str(node.module))
         ours = {m for m in imported if m.partition(".")[0] not in sys.stdlib_module_names}
-        assert ours <= {*rooms[n + 1 :], "shuntlead", "shuntlead.interface", "shuntlead.gossip"}, path
+        assert ours <= {*rooms[n + 1 :], "shuntlead", "shuntlead.interface", "shuntlead.peer_codec"}, path
         assert not imported & {"time", "datetime", "os", "threading", "socket", "asyncio"}
 
 
--- a/tests/test_newcomers.py
+++ b/tests/test_newcomers.py
@@ -15,7 +15,7 @@
 from anisespool.config import Address, load
 from anisespool.endpoints import Endpoints
 from anisespool.front import server
-from anisespool.front.client import ClientConnection
+from anisespool.front.client_connection import ClientConnection
 from anisespool.sidecar import Sidecar
 from tests.net import Streams, read_response, write_config
 from tests.planned_end import end_now
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -11,9 +11,9 @@
 from anisespool.config import Address, load
 from anisespool.limits import SPARE_SOCKETS, shares
 from anisespool.maintenance import FOLLOW_S
-from anisespool.pair import Pair
 from anisespool.service import Service
 from anisespool.state.store import Store
+from anisespool.upgrade_locks import Pair
 from tests.net import Discovery, until, write_config
 
 
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -12,7 +12,7 @@
 import pytest
 
 from anisespool.front import server
-from anisespool.kernel import has_events
+from anisespool.socket_state import has_events
 from tests.net import Endpoint, exchange, raw_call, until, world
 from tests.syscalls import FailingCall, listens_at, no_traceback, os_error
 from tests.test_endpoints import Driver
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -16,8 +16,8 @@
 import pytest
 
 from anisespool.config import Address
+from anisespool.state.peer_lists import WAIT_S
 from anisespool.state.store import ListHead, Record, Store, now_ms, place
-from anisespool.state.warm import WAIT_S
 from tests.fleet import START_S, Fleet, fleet
 from tests.net import (
     OK,
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -13,7 +13,7 @@
 from anisespool.config import Address, load
 from anisespool.discovery.deadline import TOLD_S
 from anisespool.front.server import Server
-from anisespool.front.waits import READING_S
+from anisespool.front.timeouts import READING_S
 from tests.fleet import Fleet, Relay
 from tests.net import (
     Discovery,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,8 @@
 from hypothesis import HealthCheck, given, settings, strategies
 
 from shuntlead import interface as api
+from shuntlead.balancer import Balancer
 from shuntlead.interface import EndpointState, Status
-from shuntlead.logic import Balancer
 from tests.checker import Checker
 from tests.support import MS, SECOND, raw_settings
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -7,8 +7,8 @@
 import pytest
 
 from shuntlead import interface as api
+from shuntlead.balancer import Balancer
 from shuntlead.interface import EndpointState, RosterForm, Status
-from shuntlead.logic import Balancer
 from shuntlead.members import VERDICT_AGAIN_NS, VERDICT_REPEAT_NS
 from tests.support import (
     MS,
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from anisespool.outside import Outside
-from anisespool.pair import Pair
+from anisespool.external_state import Outside
 from anisespool.servers import Servers
-from anisespool.state import guard, memory, tables
-from anisespool.state.learned import LearnedRow, Remembered, VerdictRow
+from anisespool.state import crash_guard, learned_state, tables
+from anisespool.state.persisted_rows import LearnedRow, Remembered, VerdictRow
 from anisespool.state.store import Order, Record, Store, now_ms, place
+from anisespool.upgrade_locks import Pair
 from shuntlead.interface import Status
 from tests.net import UNTIL_S, until
 
@@ -40,7 +40,7 @@
         with sqlite3.connect(path) as connection:
             connection.execute("PRAGMA user_version=99")
     else:
-        path.with_name(path.name + ".loading").write_text(str(guard.LOADS_BEFORE_ASIDE))
+        path.with_name(path.name + ".loading").write_text(str(crash_guard.LOADS_BEFORE_ASIDE))
     capfd.readouterr()
     it = Store.open(tmp_path, "n0")
     assert it and it.orders() == {}
@@ -103,15 +103,15 @@
 async def test_a_verdict_is_written_at_once_and_does_not_wait_for_the_next_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(memory, "SNAPSHOT_S", 3600.0)
+    monkeypatch.setattr(learned_state, "SNAPSHOT_S", 3600.0)
     store, outside = Store.open(tmp_path, "n0"), Outside(Servers({}, 0), lambda event: None)
     assert store
     pair = Pair(tmp_path, "n0")
     verdict = VerdictRow("s-0", now_ms() + 60_000, Status.RESET)
     monkeypatch.setattr(outside, "snapshot", lambda: Remembered((), (verdict,)))
-    following = asyncio.create_task(memory.Memory(store, pair, outside, keeps_pins=False).follow())
+    following = asyncio.create_task(learned_state.Memory(store, pair, outside, keeps_pins=False).follow())
     outside.on_remember()
-    await until(lambda: [r.id for r in store.records(memory.VERDICT)] == ["s-0"])
+    await until(lambda: [r.id for r in store.records(learned_state.VERDICT)] == ["s-0"])
     following.cancel()
     await asyncio.wait([following])
     store.close()
@@ -156,7 +156,7 @@
     """Each second's snapshot tells it again, as an age, and the times reckoned from that differ by 1 ms."""
     store, outside = Store.open(tmp_path, "n0"), Outside(Servers({}, 0), lambda event: None)
     assert store
-    kept, written = memory.Memory(store, Pair(tmp_path, "n0"), outside, keeps_pins=False), []
+    kept, written = learned_state.Memory(store, Pair(tmp_path, "n0"), outside, keeps_pins=False), []
     for at_ms in (5_000, 5_001, 5_000, 5_001, 5_003, 5_002):
         written += kept._changed(Remembered([LearnedRow("s-0", 1.0, 0.0, at_ms)], []))
     assert [record.at_ms for record in written] == [5_000, 5_003]
--- a/tests/test_stored_list.py
+++ b/tests/test_stored_list.py
@@ -17,7 +17,7 @@
 
 from anisespool.config import Address, MemberList
 from anisespool.state import tables
-from anisespool.state.snapshot import ListSnapshot, digest
+from anisespool.state.list_snapshot import ListSnapshot, digest
 from anisespool.state.store import ListHead, Store, now_ms, place
 from tests.fleet import fleet
 from tests.net import OK, Endpoint, TellingDiscovery, member, member_list, until
--- a/tests/test_taken.py
+++ b/tests/test_taken.py
@@ -10,7 +10,7 @@
 import pytest
 
 from anisespool.config import Address, load
-from anisespool.front import waits
+from anisespool.front import timeouts
 from anisespool.front.server import Server
 from tests.net import Endpoint, raw_call, until, write_config
 from tests.planned_end import end_now
@@ -23,7 +23,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, closes: str, size: int
 ) -> None:
     """The rest is in the kernel, and the loop has not read it yet, as the connection is to make room."""
-    monkeypatch.setattr(waits, "READING_S", 0.0)
+    monkeypatch.setattr(timeouts, "READING_S", 0.0)
     async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         listener = Server(it.sidecar, config.names, config.settings, 8)
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -10,7 +10,7 @@
 import pytest
 
 from anisespool.exchange import Answer, Call
-from anisespool.front.conversation import MOST_PIPELINED
+from anisespool.front.http_connection import MOST_PIPELINED
 from anisespool.sidecar import Sidecar
 from tests.net import Endpoint, held_until, raw_call, until, world
 
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -15,13 +15,13 @@
 import pytest
 
 from anisespool.config import Address
-from anisespool.fleet.shared import verdicts_datagrams
+from anisespool.fleet.shared_state import verdicts_datagrams
 from anisespool.peers import QUIET_S, shared_id
-from anisespool.state import warm
-from anisespool.state.memory import PIN, PIN_S, VERDICT
+from anisespool.state import peer_lists
+from anisespool.state.learned_state import PIN, PIN_S, VERDICT
 from anisespool.state.store import now_ms, place
 from shuntlead.interface import Status, Verdict
-from shuntlead.verdicts import LONGEST_NS
+from shuntlead.outliers import LONGEST_NS
 from tests.fleet import Fleet, fleet
 from tests.net import OK, UNTIL_S, Endpoint, TellingDiscovery, member, member_list, reset, until
 from tests.support import SECOND, raw_settings
@@ -107,12 +107,19 @@
         async def answer(n: int, sock: socket.socket) -> None:
             while True:
                 data = await loop.sock_recv(sock, 4096)
-                if data[:1] != warm.ASK:
+                if data[:1] != peer_lists.ASK:
                     continue
                 asked.append(n)
                 nonce = int.from_bytes(data[1:5], "little")
-                lie = [*warm.parts(nonce, 10**6, []), *lies, b"\x03", b"\x04xy", os.urandom(257), b"\x09"]
-                for each in lie if n == 1 else warm.parts(nonce, 4, []):
+                lie = [
+                    *peer_lists.parts(nonce, 10**6, []),
+                    *lies,
+                    b"\x03",
+                    b"\x04xy",
+                    os.urandom(257),
+                    b"\x09",
+                ]
+                for each in lie if n == 1 else peer_lists.parts(nonce, 4, []):
                     it.relay.deliver(n, 0, each)
 
         answering = []
