--- a/anisespool/admin_commands.py
+++ b/anisespool/admin_commands.py
@@ -53,7 +53,7 @@
         """What is known of the fleet: tenants' rates a second and quotas, how old the reports are, and the
         servers ejected."""
         shared, tenants = self._sidecar.outside.share_reports(), self._config.settings.tenants
-        rates = (f"{name} {shared.fleet[n]:.1f} of {tenants[n].quota_per_s:.1f}/s"
+        rates = (f"{name} {shared.fleet_rates[n]:.1f} of {tenants[n].quota_per_s:.1f}/s"
                  for name, n in self._config.names.tenants.items())  # fmt: skip
         ages = sorted(report.age_ns / 1e9 for report in shared.reports[1:])
         oldest = f", the oldest {ages[-1]:.2f} s" if ages else ""
--- a/anisespool/external_state.py
+++ b/anisespool/external_state.py
@@ -29,23 +29,25 @@
         self._remembered = Remembered((), ())
         self.on_remember: Callable[[], None] = lambda: None  # unasked too: a verdict is not to be lost
         self.on_pin: Callable[[PinRow], None] = lambda row: None
-        self.on_verdicts: Callable[[int, Sequence[api.Verdict]], None] = lambda peer, rows: None
+        self.on_verdicts: Callable[[int, Sequence[api.Ejection]], None] = lambda peer, rows: None
         self.actions: dict[type, Callable[..., None]] = {
-            api.Tell: self._tell, api.TellVerdicts: self._tell_verdicts, api.Remember: self._remember,
-            api.Pin: self._pin, api.TellReports: self._tell_reports,
+            api.SendToPeer: self._tell, api.SendEjections: self._tell_verdicts, api.Snapshot: self._remember,
+            api.SavePin: self._pin, api.SendReports: self._tell_reports,
             api.ShareReports: self._share_reports}  # fmt: skip
 
     # Other sidecars ------------------------------------------------------------------------------
 
-    def _tell(self, action: api.Tell) -> None:
+    def _tell(self, action: api.SendToPeer) -> None:
         if self.peers:
-            told = (s._replace(endpoint=self.servers.shared[s.endpoint]) for s in action.sightings)
-            self.peers.tell(action.peer, action.strain, tuple(told))
+            told = (s._replace(endpoint=self.servers.shared[s.endpoint]) for s in action.observations)
+            self.peers.tell(action.peer, action.pressure, tuple(told))
 
     def heard(self, message: api.PeerMessage) -> None:
         known = self.servers.by_shared
-        seen = tuple(s._replace(endpoint=known[s.endpoint]) for s in message.sightings if s.endpoint in known)
-        self._handle(message._replace(sightings=seen))
+        seen = tuple(
+            s._replace(endpoint=known[s.endpoint]) for s in message.observations if s.endpoint in known
+        )
+        self._handle(message._replace(observations=seen))
 
     def list_is_old(self) -> None:
         """Discovery has not been heard for a while."""
@@ -66,19 +68,19 @@
         say("hearsay", f"{left}: list {revision} of sidecar {sender} against {servers.revision} here changes "
             f"{some(changed)}")  # fmt: skip
 
-    def peer_verdicts(self, sender: int, rows: Iterable[api.Verdict]) -> None:
+    def peer_verdicts(self, sender: int, rows: Iterable[api.Ejection]) -> None:
         """What a peer holds ejected, by shared ids."""
         known = self.servers.by_shared
         told = tuple(v._replace(endpoint=known[v.endpoint]) for v in rows if v.endpoint in known)
-        self._handle(api.PeerVerdicts(sender, told))
+        self._handle(api.PeerEjections(sender, told))
 
-    def asked_by(self, peer: int, sightings: bool) -> None:
+    def asked_by(self, peer: int, observations: bool) -> None:
         """A peer that starts wants to know what is ejected here, or also what was seen of servers."""
-        self._handle(api.PeerAsked(peer, sightings))
+        self._handle(api.PeerStarted(peer, observations))
 
-    def _tell_verdicts(self, action: api.TellVerdicts) -> None:
+    def _tell_verdicts(self, action: api.SendEjections) -> None:
         shared = self.servers.shared
-        rows = [v._replace(endpoint=shared[v.endpoint]) for v in action.verdicts if v.endpoint in shared]
+        rows = [v._replace(endpoint=shared[v.endpoint]) for v in action.ejections if v.endpoint in shared]
         self.on_verdicts(action.peer, rows)
 
     def tenant_reports(self, reports: tuple[api.TenantReport, ...]) -> None:
@@ -87,14 +89,14 @@
 
     def beside(self, left_ns: int, rates: tuple[float, ...]) -> None:
         """What tenants ask of the other process of an upgrade; void after so much longer."""
-        self._handle(api.Beside(left_ns, rates))
+        self._handle(api.OtherProcessRates(left_ns, rates))
 
     def share_reports(self) -> api.ShareReports:
         """What is known of tenants across the fleet, and the servers ejected."""
         self._handle(api.TakeReports())
         return self._shared_reports
 
-    def _tell_reports(self, action: api.TellReports) -> None:
+    def _tell_reports(self, action: api.SendReports) -> None:
         self.on_reports(action.peer, action.reports)
 
     def _share_reports(self, action: api.ShareReports) -> None:
@@ -111,25 +113,25 @@
         """What an earlier process knew, of servers that are listed now."""
         now, known = now_ms(), self.servers.numbers
         self._handle(
-            api.Recall(
-                tuple(api.Sighting(known[r.server], r.slow, r.queue, max(0, now - r.at_ms) * 1_000_000)
+            api.Restore(
+                tuple(api.Observation(known[r.server], r.slow, r.queue, max(0, now - r.at_ms) * 1_000_000)
                       for r in remembered.learned if r.server in known),
-                tuple(api.Verdict(known[r.server], (r.until_ms - now) * 1_000_000, r.reason)
-                      for r in remembered.verdicts if r.server in known and r.until_ms > now),
-                tuple(api.Pinned(*r[:4], (r.until_ms - now) * 1_000_000) for r in pins),
+                tuple(api.Ejection(known[r.server], (r.until_ms - now) * 1_000_000, r.reason)
+                      for r in remembered.ejections if r.server in known and r.until_ms > now),
+                tuple(api.KeyPin(*r[:4], (r.until_ms - now) * 1_000_000) for r in pins),
             )
         )  # fmt: skip
 
-    def _remember(self, action: api.Remember) -> None:
+    def _remember(self, action: api.Snapshot) -> None:
         now, ids = now_ms(), self.servers.ids
         self._remembered = Remembered(
-            [LearnedRow(ids[s.endpoint], s.slow, s.queue, now - s.age_ns // 1_000_000)
-             for s in action.sightings if s.endpoint in ids],
+            [LearnedRow(ids[s.endpoint], s.slowdown, s.queue, now - s.age_ns // 1_000_000)
+             for s in action.observations if s.endpoint in ids],
             [VerdictRow(ids[v.endpoint], now + v.left_ns // 1_000_000, v.reason)
-             for v in action.verdicts if v.endpoint in ids],
+             for v in action.ejections if v.endpoint in ids],
         )  # fmt: skip
         self.on_remember()
 
-    def _pin(self, action: api.Pin) -> None:
+    def _pin(self, action: api.SavePin) -> None:
         until_ms = now_ms() + action.pinned.left_ns // 1_000_000
         self.on_pin(PinRow(*action.pinned[:4], until_ms))
--- a/anisespool/fleet/clock_offsets.py
+++ b/anisespool/fleet/clock_offsets.py
@@ -11,10 +11,13 @@
 from dataclasses import dataclass
 
 from shuntlead.interface import TenantReport
-from shuntlead.quotas import FRESH_NS
+from shuntlead.quotas import REPORT_LIFETIME_NS
 
 SETTLE_S = 2.0
-EARLY_MS, LATE_MS = 1_000, FRESH_NS // 1_000_000  # of a datagram by the same clock; a later one is of no use
+EARLY_MS, LATE_MS = (
+    1_000,
+    REPORT_LIFETIME_NS // 1_000_000,
+)  # of a datagram by the same clock; a later one is of no use
 HALF_RANGE_MS = 1 << 30  # stamps wrap: so far from now in either direction they can be told apart
 
 
--- a/anisespool/fleet/shared_state.py
+++ b/anisespool/fleet/shared_state.py
@@ -11,7 +11,7 @@
 from anisespool.external_state import Outside
 from anisespool.fleet.clock_offsets import HALF_RANGE_MS, Offsets, behind_ms
 from anisespool.peers import MAX_DATAGRAM, Peers
-from shuntlead.interface import Status, TenantReport, Verdict
+from shuntlead.interface import Ejection, Status, TenantReport
 from shuntlead.peer_codec import decode_reports, encode_reports
 
 OUT, RATES = b"\x04", b"\x05"  # the kinds of datagrams
@@ -25,7 +25,7 @@
     return CLOCK.unix_ms()
 
 
-def verdicts_datagrams(rows: Sequence[Verdict]) -> list[bytes]:
+def verdicts_datagrams(rows: Sequence[Ejection]) -> list[bytes]:
     """The datagrams that tell what is ejected, by shared ids."""
     packed = [_OUT.pack(v.endpoint, max(1, min(255, v.left_ns // LEFT_NS)), v.reason) for v in rows]
     return [OUT + b"".join(packed[n : n + MOST_OUT]) for n in range(0, len(packed), MOST_OUT)]
@@ -40,7 +40,7 @@
         peers.handle(RATES, self._on_rates)
         outside.on_verdicts, outside.on_reports = self._tell_verdicts, self._tell_rates
 
-    def _tell_verdicts(self, peer: int, rows: Sequence[Verdict]) -> None:
+    def _tell_verdicts(self, peer: int, rows: Sequence[Ejection]) -> None:
         for data in verdicts_datagrams(rows):
             self._peers.send(peer, data)
 
@@ -50,7 +50,7 @@
     def _on_verdicts(self, sender: int, data: bytes) -> bool:
         if not data or len(data) % _OUT.size:
             return False
-        rows = [Verdict(n, left * LEFT_NS, Status(status)) for n, left, status in _OUT.iter_unpack(data)
+        rows = [Ejection(n, left * LEFT_NS, Status(status)) for n, left, status in _OUT.iter_unpack(data)
                 if status in Status._value2member_map_]  # fmt: skip
         self._outside.peer_verdicts(sender, rows)
         return True
--- a/anisespool/fleet/upgrade_rates.py
+++ b/anisespool/fleet/upgrade_rates.py
@@ -42,7 +42,7 @@
     async def _exchange(self) -> None:
         shared, now = self._outside.share_reports(), clock_ms()
         rows = [[r.sidecar, now - r.age_ns // 1_000_000, *r.rates] for r in shared.reports[1:]]
-        body = json.dumps([shared.here, rows])
+        body = json.dumps([shared.process_rates, rows])
         await self._store.put([Record(KIND, self._id, now, now + KEPT_MS, body)])
         for record in self._store.records(KIND):
             if record.id != self._id:
--- a/anisespool/list_updater.py
+++ b/anisespool/list_updater.py
@@ -10,7 +10,7 @@
 from anisespool.log import say
 from anisespool.servers import Servers
 from shuntlead import interface as api
-from shuntlead.interface import EndpointState, RosterForm
+from shuntlead.interface import EndpointState, ListForm
 
 LOOK_NS = 50_000_000  # between two looks at what discovery has written, while requests come
 
@@ -28,9 +28,9 @@
             self._looked_ns = now_ns
             self.look()
 
-    def listed(self, update: MemberList, form: RosterForm | None = None) -> None:
+    def listed(self, update: MemberList, form: ListForm | None = None) -> None:
         """A list, or a change of one."""
-        form = form or (RosterForm.FULL if update.complete else RosterForm.DELTA)
+        form = form or (ListForm.FULL if update.complete else ListForm.DELTA)
         change = self.servers.apply(update, form)
         if change.rows or change.gone:
             say("list", change.summary)
@@ -49,9 +49,11 @@
         module that is a change of the list: attempts that wait for a connection are placed anew."""
         rows = self.servers.refresh(member_ids)
         if rows:
-            self._take_up(rows, [], RosterForm.DELTA)
+            self._take_up(rows, [], ListForm.DELTA)
 
-    def _take_up(self, rows: list[tuple[Member, api.Listed]], gone: list[int], form: RosterForm) -> None:
+    def _take_up(
+        self, rows: list[tuple[Member, api.ListedEndpoint]], gone: list[int], form: ListForm
+    ) -> None:
         """The connections learn of it first, so that nothing decided next reaches an endpoint that drains.
         That ends attempts, and the module would place them anew by the list it had before; so it
         hears of the list ahead of them."""
@@ -63,4 +65,4 @@
             for number in gone:  # last, as one line may have a server both up and gone
                 self._endpoints.remove(number)
         entries = tuple(row for _, row in rows)
-        self.decisions.handle_first(api.Roster(self.servers.revision, form, entries))
+        self.decisions.handle_first(api.EndpointList(self.servers.revision, form, entries))
--- a/anisespool/member_list.py
+++ b/anisespool/member_list.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from shuntlead.interface import EndpointState, Listed
+from shuntlead.interface import EndpointState, ListedEndpoint
 
 STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 
@@ -28,7 +28,7 @@
 
     id: str
     address: Address
-    row: Listed
+    row: ListedEndpoint
     up_since_ms: int = 0  # Unix time, by another machine's wall clock; 0: long ago
 
 
@@ -88,4 +88,6 @@
         zone = self.zones.get(raw.get("locality", ""), len(self.zones))
         kind = self.kinds.get(raw.get("flavor", ""), len(self.kinds))
         weight, cell = float(raw.get("size", 1.0)), int(raw.get("cell", 0))
-        return Member(str(raw["id"]), address, Listed(0, weight, cell, kind, zone, state, started), since_ms)
+        return Member(
+            str(raw["id"]), address, ListedEndpoint(0, weight, cell, kind, zone, state, started), since_ms
+        )
--- a/anisespool/peers.py
+++ b/anisespool/peers.py
@@ -14,7 +14,7 @@
 from anisespool.errors.system import described
 from anisespool.log import fault
 from shuntlead import interface as api
-from shuntlead.peer_codec import decode_peer, encode_peer
+from shuntlead.peer_codec import decode_peer_message, encode_peer_message
 
 MAX_DATAGRAM = 256  # a longer one voids the run
 RELEASE = b"\x01"  # of the form of the messages; one that begins otherwise is another release's
@@ -82,9 +82,9 @@
         if to is not None:
             self._send(data, to)
 
-    def tell(self, peer: int, strain: float, sightings: tuple[api.Sighting, ...]) -> None:
+    def tell(self, peer: int, pressure: float, observations: tuple[api.Observation, ...]) -> None:
         """To one sidecar by its number, or to all (-1)."""
-        self.send(peer, RELEASE + encode_peer(strain, sightings))
+        self.send(peer, RELEASE + encode_peer_message(pressure, observations))
 
     def _send(self, data: bytes, to: Address) -> None:
         if len(data) <= MAX_DATAGRAM and self._transport is not None and not self._full:
@@ -99,7 +99,7 @@
     def _read(self, sender: int, data: bytes) -> bool:
         if on_data := self._kinds.get(data[:1]):
             return on_data(sender, data[1:])
-        message = decode_peer(sender, data[1:]) if data[:1] == RELEASE else None
+        message = decode_peer_message(sender, data[1:]) if data[:1] == RELEASE else None
         if message is not None:
             self._on_message(message)
         return message is not None
--- a/anisespool/servers.py
+++ b/anisespool/servers.py
@@ -13,7 +13,7 @@
 from anisespool.peers import shared_id
 from anisespool.state.records import Order
 from anisespool.withdrawals import Withdrawals
-from shuntlead.interface import EndpointState, Listed, RosterForm
+from shuntlead.interface import EndpointState, ListedEndpoint, ListForm
 
 LATEST_LIST_NS = 15_000_000_000  # by how much a list is late at most, with some to spare
 MOST_NAMED = 12  # servers in a line of the log
@@ -23,7 +23,7 @@
 class ListChange(NamedTuple):
     """What a list, or a change of one, has made of the servers."""
 
-    rows: list[tuple[Member, Listed]]  # the servers that it has, with their rows for the module
+    rows: list[tuple[Member, ListedEndpoint]]  # the servers that it has, with their rows for the module
     gone: list[int]  # the numbers of those that it no longer has
     summary: str  # for the log
 
@@ -56,21 +56,21 @@
 
     # Lists ------------------------------------------------------------------------------------------
 
-    def apply(self, update: MemberList, form: RosterForm) -> ListChange:
+    def apply(self, update: MemberList, form: ListForm) -> ListChange:
         """Take up a list or a change."""
         before = self.revision
         was_up = {m.id for m in update.members if self.numbers.get(m.id) in self.ready}
         self._withdrawals.begin(update.revision, self._in_use())
         self.revision = update.revision
-        self.discovery_spoke |= form is not RosterForm.CACHED
+        self.discovery_spoke |= form is not ListForm.CACHED
         if self._clock:
             self._clock.look()
         dropped: list[str] = []
-        if form is not RosterForm.DELTA:
+        if form is not ListForm.DELTA:
             dropped = sorted(self.numbers.keys() - {member.id for member in update.members})
         gone = [self._leave(server, update.revision) for server in dropped]
         listed: dict[str, Member] = {}
-        left: list[tuple[Member, Listed]] = []
+        left: list[tuple[Member, ListedEndpoint]] = []
         for member in map(self._dated, update.members):
             if member.row.state == EndpointState.GONE:
                 left.append((member, member.row._replace(endpoint=self._number(member))))
@@ -83,7 +83,7 @@
         also = self._withdrawals.end(update.revision, now_ns, self._listed_up)
         rows = left + self.refresh([*listed, *(also - listed.keys())])
         is_up = {member.id for member, row in rows if row.state == EndpointState.READY}
-        kind = "change" if form is RosterForm.DELTA else "whole list"
+        kind = "change" if form is ListForm.DELTA else "whole list"
         summary = (
             f"revision {before} to {update.revision}, {kind} from {update.source}: "
             f"out {some(was_up - is_up)}, gone {some(dropped)}, up {some(is_up - was_up)}; "
@@ -108,7 +108,7 @@
         self._withdrawals.told_out(server, member.up_since_ms if member else 0, revision)
         return self._drop(server)
 
-    def refresh(self, ids: Iterable[str]) -> list[tuple[Member, Listed]]:
+    def refresh(self, ids: Iterable[str]) -> list[tuple[Member, ListedEndpoint]]:
         """The rows, for the module, of those that are listed, by all that is known of them now."""
         rows = []
         for member in [self.members[server] for server in ids if server in self.members]:
@@ -162,7 +162,7 @@
         member = self.members.get(server)
         return member is not None and self._withdrawals.holds(member)
 
-    def ordered(self, member: Member) -> Listed:
+    def ordered(self, member: Member) -> ListedEndpoint:
         """What the list says of a server, over it what has been told of it elsewhere, and over that what the
         operators say: one that is out takes nothing new, and one that they called back has been restarted,
         whether or not the list has it yet."""
--- a/anisespool/service.py
+++ b/anisespool/service.py
@@ -31,7 +31,7 @@
 from anisespool.supervision import supervise
 from anisespool.upgrade_locks import Pair
 from anisespool.waiting import first_of
-from shuntlead.interface import Effect, RosterForm
+from shuntlead.interface import Effect, ListForm
 
 BUFFERS_PART = 8  # of the memory, for long bodies on their way
 CANCEL_S = 0.2  # for the tasks to end that were cancelled
@@ -108,7 +108,7 @@
         known = self._config.known
         if self._snapshot:  # `known` may name as up what drained long since
             known = self._snapshot.loaded(self._config.names, known)
-        self._sidecar.listed(known, RosterForm.CACHED)
+        self._sidecar.listed(known, ListForm.CACHED)
         self._watch.revision = known.revision  # what is asked for is what follows the list in use
         if self._memory:
             self._memory.load()
--- a/anisespool/sidecar.py
+++ b/anisespool/sidecar.py
@@ -89,7 +89,7 @@
         self._end_ns = end_ns
         for exchange in self._exchanges.values():
             exchange.cap(end_ns)
-        self._handle(api.Ending(max(0, end_ns - ANSWER_RESERVE_NS - time.monotonic_ns())))
+        self._handle(api.ProcessEnding(max(0, end_ns - ANSWER_RESERVE_NS - time.monotonic_ns())))
 
     def _handle(self, event: api.Event) -> None:
         self.decisions.handle(event)
@@ -132,7 +132,7 @@
         exchange.drop_backstop()
         if attempt.started_ns and exchange.reply:
             exchange.set_backstop()
-        self._handle(api.BodyMoved(attempt.request_id, attempt.number, attempt.started_ns > 0))
+        self._handle(api.BodyProgress(attempt.request_id, attempt.number, attempt.started_ns > 0))
 
     def _began(self, attempt: Attempt) -> None:
         exchange, flow = self._exchanges[attempt.request_id], attempt.flow
--- a/anisespool/state/learned_state.py
+++ b/anisespool/state/learned_state.py
@@ -57,12 +57,12 @@
         """Raises StoreError."""
         try:
             learned = [_learned(r) for r in self._store.records(LEARNED)]
-            verdicts = [VerdictRow(r.id, r.until_ms, Status(int(r.body)))
+            ejections = [VerdictRow(r.id, r.until_ms, Status(int(r.body)))
                         for r in self._store.records(VERDICT)]  # fmt: skip
             is_same_clock = CLOCK.is_continued or self._has_loaded
             pins = self._read_pins() if is_same_clock else self._read_pins_of_another_clock()
             self._has_loaded = True
-            self._outside.recall(Remembered(learned, verdicts), pins)
+            self._outside.recall(Remembered(learned, ejections), pins)
         except (ValueError, TypeError) as error:
             self._complain(f"what was learned is left out, a record has another form: {error}")
 
@@ -113,7 +113,7 @@
         return [
             *(Record(LEARNED, r.server, r.at_ms, r.at_ms + LEARNED_KEPT_MS,
                      json.dumps((round(r.slow, 3), round(r.queue, 3)))) for r in fresh),
-            *(Record(VERDICT, r.server, now, r.until_ms, str(int(r.reason))) for r in known.verdicts),
+            *(Record(VERDICT, r.server, now, r.until_ms, str(int(r.reason))) for r in known.ejections),
         ]  # fmt: skip
 
     def _read_pins(self) -> list[PinRow]:
--- a/anisespool/state/peer_lists.py
+++ b/anisespool/state/peer_lists.py
@@ -79,7 +79,7 @@
             async with asyncio.timeout(WAIT_S):
                 await self._peers.opened.wait()
                 for turn, count in enumerate(ASKED):
-                    self._ask_some(count, sightings=turn == 0)
+                    self._ask_some(count, observations=turn == 0)
                     done, _ = await asyncio.wait(ended, timeout=ROUND_S, return_when=asyncio.FIRST_COMPLETED)
                     if done:
                         break
@@ -101,12 +101,12 @@
                 self._ask_some(ASKED[0])
             was_old = is_old
 
-    def _ask_some(self, count: int, sightings: bool = False) -> None:
+    def _ask_some(self, count: int, observations: bool = False) -> None:
         up = self._outside.servers.up()
         strangers = [peer for peer in self._others if peer not in self._due] or self._others
         for peer in random.sample(strangers, min(count, len(strangers))):
             self._due[peer] = set()
-            self._peers.send(peer, ASK + _ASK.pack(self._nonce, digest(up), sightings))
+            self._peers.send(peer, ASK + _ASK.pack(self._nonce, digest(up), observations))
 
     def _on_ask(self, sender: int, data: bytes) -> bool:
         if len(data) != _ASK.size:
@@ -117,7 +117,7 @@
         if self._tokens < 1:
             return True
         self._tokens -= 1
-        nonce, theirs, sightings = _ASK.unpack(data)
+        nonce, theirs, observations = _ASK.unpack(data)
         if not self._has_list():
             self._peers.send(sender, PART + _PART.pack(nonce, 0, 0, 0, 0, 0))
             return True
@@ -125,7 +125,7 @@
         same = [PART + _PART.pack(nonce, revision, 0, 0, 0, 0)]
         for part in same if theirs == digest(up) else parts(nonce, revision, up):
             self._peers.send(sender, part)
-        self._outside.asked_by(sender, sightings)
+        self._outside.asked_by(sender, observations)
         return True
 
     def _on_part(self, sender: int, data: bytes) -> bool:
--- a/anisespool/state/persisted_rows.py
+++ b/anisespool/state/persisted_rows.py
@@ -39,4 +39,4 @@
     """What outlives the process."""
 
     learned: Sequence[LearnedRow]
-    verdicts: Sequence[VerdictRow]
+    ejections: Sequence[VerdictRow]
--- a/shuntlead/estimates.py
+++ b/shuntlead/estimates.py
@@ -1,117 +1,130 @@
-"""What requests usually take, and how slow and how full each endpoint is: x_i and L_i of the design's rule.
+"""Estimates: how long requests usually take, and for each endpoint i its slowdown x_i and its load L_i, from
+which the selection weights follow (shuntlead/selection.py).
 
-It writes the slowness and queue of Endpoint records, and nothing else outside itself."""
+This module writes the slowdowns and the queue of Endpoint records, and nothing else outside itself."""
 
 from __future__ import annotations
 
 from math import exp2
 
 from shuntlead import interface as api
-from shuntlead.context import Desk
+from shuntlead.context import Context
 from shuntlead.interface import Status
 from shuntlead.records import Endpoint, Pending
 
-ALPHA = 0.3  # weight of a new response time: the paper finds one sample enough, so a short memory
-FAIL_ALPHA = 0.6  # the same of a failure: rarer than answers, and worth more
-KIND_ALPHA = 0.1  # a kind's mean moves over some 10 answers: it stands for endpoints unheard of
-CLASS_ALPHA = 0.02  # a class's usual time moves over some 50 answers: slower than any endpoint's
-CLASS_MEMORY = 8  # an endpoint's answers in one class are rarer, and remembered that much longer
-NOBODY = 25.0  # slowdown from which on an endpoint is taken for gone, not for slow
-MAX_SLOWDOWN = 50.0  # bound on one sample, in usual response times: one stall must not starve for ever
-IDLE_DRIFT = 1e-4  # growth per answer of the least time known: doubles in some 7000 answers
+# Weights of a new sample in the moving averages:
+ALPHA = 0.3  # an endpoint's slowdown: a single sample already tells much, so the memory is short
+FAIL_ALPHA = 0.6  # the same for a failure, which is rarer than an answer and tells more
+KIND_ALPHA = 0.1  # a machine kind's mean, about 10 answers: used for endpoints without samples of their own
+CLASS_ALPHA = 0.02  # a class's usual response time, about 50 answers: slower than any endpoint's slowdown
+CLASS_MEMORY = 8  # an endpoint's slowdown in one class has rarer samples and so this many times the half-life
+UNREACHABLE_SLOWDOWN = 25.0  # from this slowdown on an endpoint counts as unreachable rather than slow
+MAX_SLOWDOWN = 50.0  # limit of one sample, so that a single stall cannot exclude an endpoint for long
+IDLE_DRIFT = 1e-4  # growth per answer of the least response time seen: it doubles in about 7000 answers
 
 
 class Estimates:
-    def __init__(self, desk: Desk) -> None:
-        self._desk, classes = desk, desk.settings.classes
-        self.class_ns = [c.target_ns / 4 for c in classes]  # usual response time, learned
-        self._class_seen, self._hint_mean = [0] * len(classes), [0.0] * len(classes)
-        self._usual_share = self.idle = 0.0  # share of the target that answers take, and its least
-        self.kind_slow: dict[tuple[int, int], float] = {}  # mean x_i of a kind of machine in a zone
+    def __init__(self, ctx: Context) -> None:
+        self._ctx, classes = ctx, ctx.settings.classes
+        self.class_ns = [c.target_ns / 4 for c in classes]  # usual response time of each class
+        self._class_answers, self._hint_mean = [0] * len(classes), [0.0] * len(classes)
+        self._answer_share = self.idle_share = 0.0  # share of the target that answers take; its minimum
+        self.kind_slowdowns: dict[tuple[int, int], float] = {}  # (machine kind, zone) -> mean slowdown
         self.mean_queue, self.mean_weight = 0.0, 1.0
-        columns = desk.settings.report_columns
-        figures = [*columns, "queue", "inflight"]  # past the end: not reported
-        self._load_column = figures.index("queue" if "queue" in columns else "inflight")
+        columns = ctx.settings.report_columns
+        reported_columns = [*columns, "queue", "inflight"]  # "inflight" may be past the end: not reported
+        self._load_column = reported_columns.index("queue" if "queue" in columns else "inflight")
 
-    def usual(self, req: Pending) -> float:
-        """What this request usually takes: its class's usual time, and what its hint adds to the class's."""
+    def expected_ns(self, req: Pending) -> float:
+        """How long this request should take: the usual time of its class, plus the difference between its
+        hint of the work to do and the mean hint of the class."""
         usual, hint = self.class_ns[req.event.cls], req.event.hint_ns
-        if hint is not None and self._class_seen[req.event.cls]:
+        if hint is not None and self._class_answers[req.event.cls]:
             usual = max(usual + hint - self._hint_mean[req.event.cls], usual / 4)
         return max(1.0, min(usual, MAX_SLOWDOWN * self.class_ns[req.event.cls]))  # a hint may be any number
 
-    def typical(self, e: Endpoint) -> float:
-        """Of many endpoints most are unheard of, and a slow kind would take a fast one's odds."""
-        return self.kind_slow.get((e.row.kind, e.zone)) or self.mean_weight / e.weight
+    def typical_slowdown(self, e: Endpoint) -> float:
+        """The slowdown assumed of an endpoint without samples: the mean of its machine kind in its zone, or
+        else by its weight. In a large fleet most endpoints have no recent samples, and a common value would
+        send a slow kind as much as a fast one."""
+        return self.kind_slowdowns.get((e.row.kind, e.zone)) or self.mean_weight / e.weight
 
     def load(self, e: Endpoint) -> float:
-        """L_i: the reported queue, faded by age toward the fleet's, and own sends since."""
-        now = self._desk.now
-        out, fade = len(e.out) - e.passing, exp2((e.queue_at - now) / self._desk.forget_ns)
+        """L_i: the last reported queue, decaying with its age towards the mean of all endpoints, plus this
+        sidecar's attempts since the report. At least the number of this sidecar's open attempts."""
+        now = self._ctx.now
+        open_count, fade = (
+            len(e.in_flight) - e.transferring,
+            exp2((e.queue_at - now) / self._ctx.half_life_ns),
+        )
         queue = self.mean_queue + (e.queue - self.mean_queue) * fade
-        return max(out, queue + min(e.since, out))
+        return max(open_count, queue + min(e.sent_since_report, open_count))
 
     def slowdown(self, e: Endpoint, cls: int | None = None) -> float:
-        """x_i, fading toward the fleet's mean so that one bad sample cannot starve an endpoint. One
-        that fails a class and serves the others looks well by its mean: what its class knows comes first."""
-        now, forget_ns, slow = self._desk.now, self._desk.forget_ns, self.typical(e)
-        slow += (e.slow - slow) * exp2((e.slow_at - now) / forget_ns) if e.slow_at else 0
-        if cls in e.by_class:
-            own, at = e.by_class[cls]
-            slow += (own - slow) * exp2((at - now) / (CLASS_MEMORY * forget_ns))
-        # A stalled endpoint sends no samples. Waiting for it is a sample; but what it has overtaken
-        # is one lost or long request, and an endpoint shunned for it drives the others into overload.
-        oldest = next((a for a in e.out.values() if a.sent > e.answered), None)
-        if oldest:
-            slow = max(slow, min((now - oldest.sent) / oldest.usual, MAX_SLOWDOWN))
+        """x_i, decaying towards the mean of its kind, so that one bad sample cannot exclude an endpoint for
+        ever. The samples of the class `cls` take precedence: an endpoint that fails only one class looks
+        healthy by its overall mean."""
+        now, half_life_ns, slow = self._ctx.now, self._ctx.half_life_ns, self.typical_slowdown(e)
+        slow += (e.slowdown - slow) * exp2((e.slowdown_at - now) / half_life_ns) if e.slowdown_at else 0
+        if cls in e.class_slowdowns:
+            class_slowdown, at = e.class_slowdowns[cls]
+            slow += (class_slowdown - slow) * exp2((at - now) / (CLASS_MEMORY * half_life_ns))
+        # A stalled endpoint gives no samples, so the time already waited counts as one. Not for attempts sent
+        # before one that it has answered: those are single lost or long requests, and avoiding the endpoint
+        # for them would overload the others.
+        oldest_open = next((a for a in e.in_flight.values() if a.sent_at > e.answered_sent_at), None)
+        if oldest_open:
+            slow = max(slow, min((now - oldest_open.sent_at) / oldest_open.expected_ns, MAX_SLOWDOWN))
         return slow
 
-    def learn_class(self, req: Pending, took: int) -> None:
+    def learn_answer(self, req: Pending, took: int) -> None:
+        """Updates the averages of a request's class with its response time."""
         cls = req.event.cls
-        self._class_seen[cls] += 1
-        alpha = max(CLASS_ALPHA, 1 / self._class_seen[cls])
+        self._class_answers[cls] += 1
+        alpha = max(CLASS_ALPHA, 1 / self._class_answers[cls])
         self.class_ns[cls] += alpha * (took - self.class_ns[cls])
-        seen, share = sum(self._class_seen), min(took / req.cls.target_ns, 1.0)
-        self._usual_share += max(CLASS_ALPHA, 1 / seen) * (share - self._usual_share)
-        least = self.idle * (1 + IDLE_DRIFT) if seen * CLASS_ALPHA >= 1 else 1.0
-        self.idle = min(least, self._usual_share)  # Idle answers near the target are no overload
-        if req.event.hint_ns is not None:  # Means of different requests drift apart
+        answers, share = sum(self._class_answers), min(took / req.cls.target_ns, 1.0)
+        self._answer_share += max(CLASS_ALPHA, 1 / answers) * (share - self._answer_share)
+        minimum = self.idle_share * (1 + IDLE_DRIFT) if answers * CLASS_ALPHA >= 1 else 1.0
+        self.idle_share = min(minimum, self._answer_share)  # response times near the target may be normal
+        # With the same weight as class_ns: means over different requests would drift apart.
+        if req.event.hint_ns is not None:
             self._hint_mean[cls] += alpha * (req.event.hint_ns - self._hint_mean[cls])
 
-    def learn(self, e: Endpoint, slow: float, at: int) -> None:
-        e.slow, e.slow_at, kind = slow, at, self.typical(e)
-        if slow >= NOBODY:  # it says nothing of its kind, whose odds those unheard of would share
+    def set_slowdown(self, e: Endpoint, slow: float, at: int) -> None:
+        e.slowdown, e.slowdown_at, kind = slow, at, self.typical_slowdown(e)
+        if slow >= UNREACHABLE_SLOWDOWN:  # tells nothing about other endpoints of its kind
             return
-        self.kind_slow[e.row.kind, e.zone] = kind + KIND_ALPHA * (slow - kind)
+        self.kind_slowdowns[e.row.kind, e.zone] = kind + KIND_ALPHA * (slow - kind)
 
     def learn_attempt(self, e: Endpoint, cls: int, status: Status, sample: float, before: float) -> bool:
-        """How an attempt ended, in usual response times; `before`: its slowdown till then. Whether it says
-        anything."""
-        now = self._desk.now
+        """Updates the endpoint's slowdowns with the end of an attempt. `sample`: its duration as a multiple
+        of the expected time; `before`: the slowdown so far. Returns whether the sample was used."""
+        now = self._ctx.now
         if status is Status.CANCELLED and sample <= before:
-            return False  # given up early
+            return False  # cancelled before its duration told anything
         if status is Status.CONNECT_FAILED:
-            # Nobody is there, for any class. As one slow answer each, the refusals of a lost zone
-            # would use up the re-sends that its requests need.
-            e.by_class.clear()  # or their good answers would hide it
-            self.learn(e, before + FAIL_ALPHA * (MAX_SLOWDOWN - before), now)
+            # The endpoint is down for all classes. Counted as ordinary slow answers, the refused connections
+            # of a lost zone would use up the retry budget before its endpoints are avoided.
+            e.class_slowdowns.clear()  # earlier good answers would hide the failure
+            self.set_slowdown(e, before + FAIL_ALPHA * (MAX_SLOWDOWN - before), now)
             return True
-        own = self.slowdown(e, cls)
+        class_slowdown = self.slowdown(e, cls)
         alpha = ALPHA if status is Status.OK else FAIL_ALPHA
-        e.by_class[cls] = own + alpha * (sample - own), now
-        self.learn(e, before + ALPHA * (sample - before), now)
+        e.class_slowdowns[cls] = class_slowdown + alpha * (sample - class_slowdown), now
+        self.set_slowdown(e, before + ALPHA * (sample - before), now)
         return True
 
     def on_report(self, e: Endpoint, load: tuple[float, ...]) -> None:
         value = load[self._load_column] if self._load_column < len(load) else -1.0
-        if 0 <= value < 1e9:  # not for nan, inf or nonsense
-            e.queue, e.queue_at, e.since = value, self._desk.now, 0
+        if 0 <= value < 1e9:  # ignores nan, inf and out-of-range values
+            e.queue, e.queue_at, e.sent_since_report = value, self._ctx.now, 0
             self.mean_queue += ALPHA * (value - self.mean_queue)
 
-    def see(self, e: Endpoint, seen: api.Sighting) -> None:
-        """What a peer saw later than this sidecar takes the place of what it knew."""
-        at = self._desk.now - max(0, seen.age_ns)
-        if at > max(e.slow_at, e.cold_from) and 0 < seen.slow < 1e9:
-            self.learn(e, min(seen.slow, MAX_SLOWDOWN), at)
-        if at > max(e.queue_at, e.cold_from) and 0 <= seen.queue < 1e9:
-            e.queue, e.queue_at, e.since = seen.queue, at, 0
+    def add_observation(self, e: Endpoint, observation: api.Observation) -> None:
+        """Takes over from a peer or the store what was observed later than this sidecar's own samples."""
+        at = self._ctx.now - max(0, observation.age_ns)
+        if at > max(e.slowdown_at, e.cold_from) and 0 < observation.slowdown < 1e9:
+            self.set_slowdown(e, min(observation.slowdown, MAX_SLOWDOWN), at)
+        if at > max(e.queue_at, e.cold_from) and 0 <= observation.queue < 1e9:
+            e.queue, e.queue_at, e.sent_since_report = observation.queue, at, 0
--- a/shuntlead/interface/actions.py
+++ b/shuntlead/interface/actions.py
@@ -1,38 +1,44 @@
-"""What the module wants done: its actions, to be carried out in order."""
+"""The actions that the decision module returns, to be carried out in order."""
 
 from __future__ import annotations
 
 from typing import NamedTuple, Union
 
-from shuntlead.interface.events import Pinned, Sighting, TenantReport, Verdict
+from shuntlead.interface.events import Ejection, KeyPin, Observation, TenantReport
 
 
 class Send(NamedTuple):
+    """Start an attempt."""
+
     request: int
     endpoint: int
     timeout_ns: int = 0  # 0: until the client gives up
 
 
 class Refuse(NamedTuple):
-    """Final: not served, and trying again is harmless."""
+    """Final answer: not served; a retry is harmless."""
 
     request: int
     retry_after_ns: int = 0
-    over_quota: bool = False  # its tenant asks for more than its quota
+    over_quota: bool = False  # refused because its tenant exceeds its quota
 
 
 class Fail(NamedTuple):
-    """Final: not served, nothing promised."""
+    """Final answer: not served; the request may have run, so a retry may repeat its effect."""
 
     request: int
 
 
 class Cancel(NamedTuple):
+    """Give up an open attempt."""
+
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
+    """Deliver a Timer event with this token after the delay."""
+
     delay_ns: int
     token: int
 
@@ -42,6 +48,8 @@
 
 
 class Fault(NamedTuple):
+    """The decision module has failed."""
+
     text: str
 
 
@@ -56,50 +64,63 @@
 
 
 class CloseIdle(NamedTuple):
+    """Close the idle connections to an endpoint."""
+
     endpoint: int
 
 
-class Tell(NamedTuple):
+class SendToPeer(NamedTuple):
+    """Send a PeerMessage."""
+
     peer: int  # -1: every peer
-    strain: float = 0.0
-    sightings: tuple[Sighting, ...] = ()  # at most MAX_SIGHTINGS: what a message holds
+    pressure: float = 0.0
+    observations: tuple[Observation, ...] = ()  # at most MAX_OBSERVATIONS
 
 
 class Probe(NamedTuple):
+    """Ask an endpoint for its load report."""
+
     endpoint: int
 
 
-class TellVerdicts(NamedTuple):
+class SendEjections(NamedTuple):
+    """Send the own ejections of this sidecar."""
+
     peer: int  # -1: every peer
-    verdicts: tuple[Verdict, ...]
+    ejections: tuple[Ejection, ...]
 
 
-class Remember(NamedTuple):
-    """What the next process of this sidecar should know: what was learned of each endpoint heard from."""
+class Snapshot(NamedTuple):
+    """Store what the next process of this sidecar should know."""
 
-    sightings: tuple[Sighting, ...]
-    verdicts: tuple[Verdict, ...]
+    observations: tuple[Observation, ...]
+    ejections: tuple[Ejection, ...]
 
 
-class TellReports(NamedTuple):
+class SendReports(NamedTuple):
+    """Send the tenants' rates."""
+
     peer: int
     reports: tuple[TenantReport, ...]
 
 
 class ShareReports(NamedTuple):
-    here: tuple[float, ...]  # requests a second of each tenant at this process alone
-    reports: tuple[TenantReport, ...]  # of this sidecar, and the others that are fresh
-    fleet: tuple[float, ...]  # what each tenant is taken to ask of all sidecars
-    ejected: tuple[Verdict, ...]
+    """The state of the quotas and ejections, as requested by a TakeReports event. Rates are in requests per
+    second, one for each tenant."""
+
+    process_rates: tuple[float, ...]  # at this process alone
+    reports: tuple[TenantReport, ...]  # of this sidecar, and the fresh ones of others
+    fleet_rates: tuple[float, ...]  # estimated, over all sidecars
+    ejected: tuple[Ejection, ...]
 
 
-class Pin(NamedTuple):
-    """To be kept for the next process, and the other one of an upgrade."""
+class SavePin(NamedTuple):
+    """Store a pin, for the next process and for the other one during an upgrade."""
 
-    pinned: Pinned
+    pinned: KeyPin
 
 
 Action = Union[
-    Send, Refuse, Fail, Cancel, SetTimer, Log, Fault, Fetch, Watch, CloseIdle, Tell, Probe,
-    TellVerdicts, Remember, Pin, TellReports, ShareReports,
+    Send, Refuse, Fail, Cancel, SetTimer, Log, Fault, Fetch, Watch, CloseIdle, SendToPeer, Probe,
+    SendEjections, Snapshot, SavePin, SendReports, ShareReports,
 ]  # fmt: skip
--- a/shuntlead/interface/enums.py
+++ b/shuntlead/interface/enums.py
@@ -1,4 +1,4 @@
-"""The words that events, actions and settings share."""
+"""Enumerations and constants shared by events, actions and settings."""
 
 from __future__ import annotations
 
@@ -6,12 +6,16 @@
 
 
 class Effect(Enum):
+    """What happens if a request of a class runs more than once."""
+
     REPEATABLE = "repeatable"  # may run any number of times
-    BY_KEY = "by_key"  # a dedup group drops repeats of a key inside a window
+    BY_KEY = "by_key"  # the endpoints of a dedup group drop repeats of a key within a time window
     ONCE = "once"  # must never run twice
 
 
 class Status(IntEnum):
+    """How an attempt ended."""
+
     ERROR = 0
     OK = 1
     FULL = 2
@@ -22,18 +26,22 @@
     MOOT = 7
 
 
-MAX_SIGHTINGS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
+MAX_OBSERVATIONS = 36  # in one message between sidecars: 7 bytes each, of 256
 NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
 
 
 class EndpointState(IntEnum):
+    """Whether a listed endpoint takes new requests."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
-class RosterForm(IntEnum):
-    FAILED = 0
-    DELTA = 1
-    FULL = 2
-    CACHED = 3
+class ListForm(IntEnum):
+    """What an EndpointList event carries."""
+
+    FAILED = 0  # nothing: the call to discovery failed
+    DELTA = 1  # the rows that have changed
+    FULL = 2  # the whole list
+    CACHED = 3  # the whole list, as known from earlier
--- a/shuntlead/interface/events.py
+++ b/shuntlead/interface/events.py
@@ -1,14 +1,14 @@
-"""What happens to a sidecar: the events that the module handles, and the rows that they hold."""
+"""The events that the decision module handles, and the types of their fields."""
 
 from __future__ import annotations
 
 from typing import NamedTuple, Union
 
-from shuntlead.interface.enums import RosterForm, Status
+from shuntlead.interface.enums import ListForm, Status
 
 
-class Listed(NamedTuple):
-    """One endpoint as discovery lists it."""
+class ListedEndpoint(NamedTuple):
+    """One endpoint in the list from discovery."""
 
     endpoint: int
     weight: float
@@ -16,38 +16,42 @@
     kind: int
     zone: int
     state: int
-    started_ns: int  # 0: long ago
+    started_ns: int  # start of its process; 0: long ago or unknown
 
 
-class Roster(NamedTuple):
+class EndpointList(NamedTuple):
+    """An answer of discovery: a whole list, a change of it, or a failed call, as `form` tells."""
+
     version: int
-    form: RosterForm
-    entries: tuple[Listed, ...] = ()
+    form: ListForm
+    entries: tuple[ListedEndpoint, ...] = ()
 
 
 class Request(NamedTuple):
+    """A request from a client has arrived."""
+
     request: int
     cls: int
-    left_ns: int  # until the client gives this try up
-    hint_ns: int | None = None  # anticipated work, on a standard core
-    key: int = 0
+    left_ns: int  # until the client gives up this try
+    hint_ns: int | None = None  # expected CPU time on a standard core
+    key: int = 0  # see RequestClass.in_order and Settings.warm_keys; 0: none
     tenant: int = 0
     is_retry: bool = False
     is_write: bool = False
-    has_long_body: bool = False  # too long to hold, so what has gone to an endpoint can't be sent again
+    has_long_body: bool = False  # too long to buffer: what was sent to an endpoint cannot be sent again
     dedup_key: int = 0  # not 0: the client's idempotency key, by which endpoints drop repeats
 
 
-class BodyMoved(NamedTuple):
-    """Of a long body the first bytes have gone to an endpoint, or the last ones."""
+class BodyProgress(NamedTuple):
+    """The first or the last bytes of a long request body have been sent to an endpoint."""
 
     request: int
     attempt: int
-    whole: bool
+    complete: bool  # True: the last bytes
 
 
 class FirstByte(NamedTuple):
-    """An answer too long to hold has begun, and passes on to the client."""
+    """An answer too long to buffer has begun, and is being passed on to the client."""
 
     request: int
     endpoint: int
@@ -56,75 +60,86 @@
 
 
 class Outcome(NamedTuple):
+    """An attempt has ended."""
+
     request: int
     endpoint: int
     attempt: int
     latency_ns: int
     status: Status
-    finished: bool
-    load: tuple[float, ...] = ()
+    finished: bool  # the client has its answer or is gone
+    load: tuple[float, ...] = ()  # the endpoint's load report, with the columns of the settings
 
 
 class ClientGone(NamedTuple):
+    """The client has given up the request."""
+
     request: int
 
 
-class Ending(NamedTuple):
-    """The process ends: each request, open or yet to come, has its final answer within `left_ns`."""
+class ProcessEnding(NamedTuple):
+    """The process is shutting down: every open or new request must get its final answer within `left_ns`."""
 
     left_ns: int
 
 
 class Timer(NamedTuple):
+    """A timer set by a SetTimer action has expired."""
+
     token: int
 
 
 class ProbeResult(NamedTuple):
+    """The answer to a Probe action."""
+
     endpoint: int
     status: Status
     latency_ns: int
     load: tuple[float, ...] = ()
 
 
-class Sighting(NamedTuple):
-    """What one sidecar last learned of an endpoint, for another."""
+class Observation(NamedTuple):
+    """What one sidecar has last observed of an endpoint, for another sidecar or its own next process."""
 
     endpoint: int
-    slow: float  # response times over what their requests usually take
-    queue: float
+    slowdown: float  # response time as a multiple of what the same requests usually take
+    queue: float  # reported requests queued or running there
     age_ns: int
 
 
 class PeerMessage(NamedTuple):
     sender: int
-    strain: float = -1.0  # waits of late: 0 as in an idle fleet, 1 all targets missed, below 0 not told
-    sightings: tuple[Sighting, ...] = ()
+    # Share of their targets that the sender's recent requests took: 1 if all miss them, below 0 if unknown.
+    pressure: float = -1.0
+    observations: tuple[Observation, ...] = ()
 
 
-class Verdict(NamedTuple):
-    """An endpoint that a sidecar has ejected, for so much longer, and the failure that tipped it."""
+class Ejection(NamedTuple):
+    """An endpoint that a sidecar has ejected for `left_ns` more, and the last failure before that."""
 
     endpoint: int
     left_ns: int
     reason: Status
 
 
-class PeerVerdicts(NamedTuple):
-    """What a peer holds ejected."""
+class PeerEjections(NamedTuple):
+    """The endpoints that a peer has ejected."""
 
     sender: int
-    verdicts: tuple[Verdict, ...]
+    ejections: tuple[Ejection, ...]
 
 
-class PeerAsked(NamedTuple):
-    """A peer that has just started asks what is ejected here, and maybe what was seen of endpoints."""
+class PeerStarted(NamedTuple):
+    """A peer that has just started asks for the ejections of this sidecar, and for its observations if
+    `observations` is set."""
 
     peer: int
-    sightings: bool
+    observations: bool
 
 
-class Pinned(NamedTuple):
-    """A keyed request was sent to a dedup group, which alone may see its key again for so much longer."""
+class KeyPin(NamedTuple):
+    """The dedup group (zone or cell) to which a request with an idempotency key was sent. For `left_ns` more
+    repeats with that key may only go to this group."""
 
     key: int
     cls: int
@@ -134,7 +149,7 @@
 
 
 class TenantReport(NamedTuple):
-    """What one sidecar's tenants asked of it a while ago, in requests a second, in the settings' order."""
+    """Requests per second of each tenant at one sidecar, in the order of the settings, as of `age_ns` ago."""
 
     sidecar: int
     age_ns: int
@@ -142,35 +157,36 @@
 
 
 class TenantReports(NamedTuple):
-    """From a peer, or from the other process of an upgrade."""
+    """Reports from a peer, or from the other process during an upgrade."""
 
     reports: tuple[TenantReport, ...]
 
 
-class Beside(NamedTuple):
-    """What the tenants ask of the other process of an upgrade; void after so much longer."""
+class OtherProcessRates(NamedTuple):
+    """Requests per second of each tenant at the other process during an upgrade, valid for `left_ns`."""
 
     left_ns: int
     rates: tuple[float, ...]
 
 
 class TakeReports(NamedTuple):
-    """Asks for a ShareReports action, for the other process of an upgrade, or for an operator."""
+    """Requests a ShareReports action, for the other process of an upgrade or for an operator."""
 
 
-class Recall(NamedTuple):
-    """What an earlier process of this sidecar knew, with its age."""
+class Restore(NamedTuple):
+    """State stored by an earlier process of this sidecar."""
 
-    sightings: tuple[Sighting, ...] = ()
-    verdicts: tuple[Verdict, ...] = ()
-    pins: tuple[Pinned, ...] = ()
+    observations: tuple[Observation, ...] = ()
+    ejections: tuple[Ejection, ...] = ()
+    pins: tuple[KeyPin, ...] = ()
 
 
 class TakeSnapshot(NamedTuple):
-    """Asks for a Remember action."""
+    """Requests a Snapshot action."""
 
 
 Event = Union[
-    Roster, Request, BodyMoved, FirstByte, Outcome, ClientGone, Timer, ProbeResult, PeerMessage,
-    PeerVerdicts, PeerAsked, Recall, TakeSnapshot, TenantReports, Beside, TakeReports, Ending,
+    EndpointList, Request, BodyProgress, FirstByte, Outcome, ClientGone, Timer, ProbeResult, PeerMessage,
+    PeerEjections, PeerStarted, Restore, TakeSnapshot, TenantReports, OtherProcessRates, TakeReports,
+    ProcessEnding,
 ]  # fmt: skip
--- a/shuntlead/interface/settings.py
+++ b/shuntlead/interface/settings.py
@@ -1,4 +1,4 @@
-"""The settings handed over at the start, read once into frozen types."""
+"""The settings of the decision module: read once at the start, into immutable types."""
 
 from __future__ import annotations
 
@@ -9,63 +9,65 @@
 
 
 class SettingsError(ValueError):
-    """A required setting is absent or has the wrong type; the text names it."""
+    """A setting is missing, or has a wrong type or value; the message names it."""
 
 
 class RequestClass(NamedTuple):
-    target_ns: int
-    deadline_ns: int
+    target_ns: int  # response time that an answer should keep to
+    deadline_ns: int  # from the first try on, when clients give up
     effect: Effect
-    worth: float = 1.0
-    late_worth: float = 0.0
-    dedup_scope: str = "all"  # all, zone or cell
-    dedup_window_ns: int = 0
+    worth: float = 1.0  # value of an answer within the target
+    late_worth: float = 0.0  # value of a later answer
+    dedup_scope: str = "all"  # group of endpoints that drop repeats: all, zone or cell
+    dedup_window_ns: int = 0  # for how long they do
     stream: bool = False
-    aim_stretch: float = 0.0
-    in_order: bool = False  # requests with one key run one at a time, in the order taken
+    aim_stretch: float = 0.0  # part of a request's work hint that is added to its target
+    in_order: bool = False  # requests with the same key run one at a time, in order of arrival
 
 
 class Tenant(NamedTuple):
-    share: float
-    quota_per_s: float
+    share: float  # part of the capacity that it is entitled to
+    quota_per_s: float  # requests per second over the whole fleet; 0: no quota
 
 
 class Settings(NamedTuple):
     classes: tuple[RequestClass, ...]
     zone: int
-    attempts_cap: int
+    attempts_cap: int  # most attempts of one request
     drain_grace_ns: int
-    cold_ns: int
-    start_capacity: float
+    cold_ns: int  # warm-up time of an endpoint after its start
+    start_capacity: float  # share of its capacity that an endpoint has at its start
+    # An endpoint that is warming up fails if it gets, within fall_ns, more than fall_multiple times the
+    # requests that are its share by its present capacity.
     fall_multiple: float
     fall_ns: int
-    fleet_size: int = 1
-    self_index: int = 0
+    fleet_size: int = 1  # number of sidecars
+    self_index: int = 0  # this sidecar's position among them
     answer_slack_ns: int = 0
-    order_settle_ns: int = 0
-    ask_within_ns: int = 10_000_000_000
-    resolution_ns: int = 1_000_000
+    order_settle_ns: int = 0  # pause of a key after an attempt that may still be running, see in_order
+    ask_within_ns: int = 10_000_000_000  # longest time without a call to discovery
+    resolution_ns: int = 1_000_000  # resolution of the clock
     may_duplicate: bool = False
     may_cancel: bool = False
     may_probe: bool = False
-    may_message: bool = False
-    max_retry_after_ns: int = 0  # 0: clients are not told when to come back
+    may_message: bool = False  # exchange messages with peers
+    max_retry_after_ns: int = 0  # 0: refused clients are not told when to retry
     connect_timeout_ns: int = 0
     discovery: str = "push"  # push or ask
-    report_how: str = "silent"  # piggyback, pull or silent
-    report_columns: tuple[str, ...] = ()
-    warm_keys: bool = False
+    report_how: str = "silent"  # how endpoints report their load: piggyback, pull or silent
+    report_columns: tuple[str, ...] = ()  # names of the values in a load report
+    warm_keys: bool = False  # endpoints answer faster for keys that they have served before
     tenants: tuple[Tenant, ...] = ()
-    price_cross_zone: float = 0.0
-    price_handshake: float = 0.0
-    streams_per_conn: int = 1  # attempts that a connection carries at a time
-    keepalive_ns: int = 60_000_000_000  # an idle connection is closed after it
-    fleet_quotas: bool = False  # tenants' quotas are kept for the fleet as a whole
-    ejection: bool = False  # endpoints that fail more than the others get nothing new for a while
+    price_cross_zone: float = 0.0  # cost of a request to another zone, as part of the request's worth
+    price_handshake: float = 0.0  # cost of a new connection, likewise
+    streams_per_conn: int = 1  # attempts that a connection carries at the same time
+    keepalive_ns: int = 60_000_000_000  # idle time after which a connection is closed
+    fleet_quotas: bool = False  # enforce the tenants' quotas over the whole fleet
+    ejection: bool = False  # eject endpoints that fail more than the others
 
     @classmethod
     def from_dict(cls, raw: dict[str, Any]) -> Settings:
-        """Read the settings object; unknown keys are ignored, optional ones may be absent."""
+        """Reads the settings; unknown keys are ignored."""
         root = _Reader(raw, "")
         allowed = root.child("allowed")
         rules = root.child("guarantees")
@@ -113,7 +115,7 @@
 
 
 class _Reader:
-    """Typed access to a JSON object that names the key when something is wrong."""
+    """Typed access to a JSON object, with errors that name the key."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
--- a/shuntlead/keys.py
+++ b/shuntlead/keys.py
@@ -1,48 +1,52 @@
-"""Requests with keys: those that take turns, and those whose repeats only one group of endpoints drops.
+"""Requests with keys. Requests of an in-order class with the same key run one at a time; and repeats of a
+request with an idempotency key may only go to its dedup group, the zone or cell whose endpoints drop repeats.
 
-It keeps its own tables and writes nothing outside itself."""
+This module keeps its own tables and writes nothing outside itself."""
 
 from __future__ import annotations
 
 from shuntlead import interface as api
-from shuntlead.context import Desk
+from shuntlead.context import Context
 from shuntlead.interface import Effect
 from shuntlead.records import Endpoint, Pending
 
 
 class Keys:
-    def __init__(self, desk: Desk) -> None:
-        self._desk = desk
-        # By dedup key: zone, cell, until when, and the request that went there first; the oldest first.
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        # Dedup key -> (zone, cell, expiry, id of the request that was sent there first), oldest first.
         self._pins: dict[int, tuple[int, int, int, int]] = {}
-        self.turns: dict[int, list[Pending]] = {}  # by key, in the order taken
-        self._rests: dict[int, int] = {}  # key -> until when, the first to end first
-        self.woken: list[Pending] = []  # their turn has come
+        self.queues: dict[int, list[Pending]] = {}  # key -> requests in order of arrival
+        self._cooldowns: dict[int, int] = {}  # key -> end of the pause, earliest first
+        self.woken: list[Pending] = []  # requests that have become the first of their key
 
-    def group(self, req: Pending, usual: list[Endpoint], ready: list[Endpoint]) -> list[Endpoint]:
-        """Where the request may go: of the usual endpoints, or of all that are ready where an earlier process
-        sent its key."""
-        risky, s, now, scope = req.risky(), self._desk.settings, self._desk.now, req.cls.dedup_scope
+    def eligible(
+        self, req: Pending, usual_endpoints: list[Endpoint], ready: list[Endpoint]
+    ) -> list[Endpoint]:
+        """The endpoints that the request may be sent to: from `usual_endpoints`, or from all `ready` ones if
+        an earlier process has pinned its key to a group."""
+        maybe_ran, s, now, scope = req.maybe_ran(), self._ctx.settings, self._ctx.now, req.cls.dedup_scope
         zone, cell, until, _ = self._pins.get(req.event.dedup_key, (0, 0, 0, 0))
-        among = ready
-        if risky and req.cls.effect is Effect.BY_KEY:
-            # Outside the group, or past its memory, a repeat is a second effect. A copy may need
-            # a connection's time-out and some batches to arrive.
-            first, among = risky[0].endpoint.row, usual
+        candidates = ready
+        if maybe_ran and req.cls.effect is Effect.BY_KEY:
+            # Outside the dedup group of the first attempt, or after its window, a repeat would run a second
+            # time. A repeat may take a connect time-out and a few intervals of the clock resolution to
+            # arrive.
+            first, candidates = maybe_ran[0].endpoint.row, usual_endpoints
             travel = s.connect_timeout_ns + 4 * s.resolution_ns + s.answer_slack_ns
-            if now + travel >= risky[0].sent + req.cls.dedup_window_ns:
+            if now + travel >= maybe_ran[0].sent_at + req.cls.dedup_window_ns:
                 return []
             zone, cell = first.zone, first.cell
-        elif risky or until <= now:
-            return usual
+        elif maybe_ran or until <= now:
+            return usual_endpoints
         if scope == "all":
-            return usual
-        return [e for e in among if (e.zone == zone if scope == "zone" else e.row.cell == cell)]
+            return usual_endpoints
+        return [e for e in candidates if (e.zone == zone if scope == "zone" else e.row.cell == cell)]
 
     def pin(self, req: Pending, endpoint: Endpoint) -> None:
-        """A client whose sidecar was killed asks the next process with the same key, and outside the
-        first attempt's group it would have a second effect."""
-        cls, key, now = req.cls, req.event.dedup_key, self._desk.now
+        """Records the dedup group of a key, also in the store: if this process is killed, the client retries
+        at the next one with the same key, and outside the group the request would run a second time."""
+        cls, key, now = req.cls, req.event.dedup_key, self._ctx.now
         if not key or cls.effect is not Effect.BY_KEY or cls.dedup_scope == "all":
             return
         if key in self._pins and self._pins[key][2] > now:
@@ -51,47 +55,49 @@
             del self._pins[next(iter(self._pins))]
         left, row = cls.dedup_window_ns, endpoint.row
         self._pins[key] = (row.zone, row.cell, now + left, req.id)
-        self._desk.act(api.Pin(api.Pinned(key, req.event.cls, row.zone, row.cell, left)))
+        self._ctx.emit(api.SavePin(api.KeyPin(key, req.event.cls, row.zone, row.cell, left)))
 
     def unpin(self, req: Pending) -> None:
-        """It never ran, so it may go anywhere."""
-        if not req.risky() and self._pins.get(req.event.dedup_key, (0, 0, 0, 0))[3] == req.id:
+        """Removes the pin of a request that never ran, so that it may be sent anywhere."""
+        if not req.maybe_ran() and self._pins.get(req.event.dedup_key, (0, 0, 0, 0))[3] == req.id:
             del self._pins[req.event.dedup_key]
 
-    def recall(self, pin: api.Pinned) -> None:
-        """From an earlier process."""
-        known = self._desk.settings.classes[pin.cls : pin.cls + 1]  # else it has other classes now
+    def restore_pin(self, pin: api.KeyPin) -> None:
+        """Restores a pin of an earlier process."""
+        # Empty if the settings now have fewer classes.
+        known = self._ctx.settings.classes[pin.cls : pin.cls + 1]
         window = known[0].dedup_window_ns if known else 0
-        self._pins[pin.key] = (pin.zone, pin.cell, self._desk.now + min(pin.left_ns, window), 0)
+        self._pins[pin.key] = (pin.zone, pin.cell, self._ctx.now + min(pin.left_ns, window), 0)
 
-    # Turns ---------------------------------------------------------------------------------------
+    # Requests in order ---------------------------------------------------------------------------
 
-    def queue(self, req: Pending) -> None:
+    def enqueue(self, req: Pending) -> None:
         if req.key:
-            self.turns.setdefault(req.key, []).append(req)
+            self.queues.setdefault(req.key, []).append(req)
 
-    def ahead(self, req: Pending) -> int:
-        """How many of its key come before it."""
-        return self.turns[req.key].index(req) if req.key else 0
+    def count_ahead(self, req: Pending) -> int:
+        """How many requests with the same key come before it."""
+        return self.queues[req.key].index(req) if req.key else 0
 
-    def rest_ns(self, req: Pending) -> int:
-        """For how long its key has to rest yet, before a first attempt."""
+    def cooldown_ns(self, req: Pending) -> int:
+        """How long a first attempt must still wait for the pause of its key to end."""
         if not req.key or req.attempts:
             return 0
-        return max(0, self._rests.get(req.key, 0) - self._desk.now)
+        return max(0, self._cooldowns.get(req.key, 0) - self._ctx.now)
 
-    def rest(self, key: int) -> None:
-        """What timed out or broke may run on beside the next request of its key."""
-        self._rests.pop(key, None)
-        self._rests[key] = self._desk.now + self._desk.settings.order_settle_ns
-        while next(iter(self._rests.values())) < self._desk.now:
-            del self._rests[next(iter(self._rests))]
+    def start_cooldown(self, key: int) -> None:
+        """Pauses a key after an attempt that timed out or broke off, which may still be running at its
+        endpoint and must not overlap with the next request."""
+        self._cooldowns.pop(key, None)
+        self._cooldowns[key] = self._ctx.now + self._ctx.settings.order_settle_ns
+        while next(iter(self._cooldowns.values())) < self._ctx.now:
+            del self._cooldowns[next(iter(self._cooldowns))]
 
-    def leave(self, req: Pending) -> None:
-        """It is over: the next of its key is woken."""
+    def remove_request(self, req: Pending) -> None:
+        """Removes a finished request and wakes the next one with its key."""
         if req.key:
-            queue = self.turns[req.key]
+            queue = self.queues[req.key]
             queue.remove(req)
             self.woken += queue[:1]
             if not queue:
-                del self.turns[req.key]
+                del self.queues[req.key]
--- a/shuntlead/peer_exchange.py
+++ b/shuntlead/peer_exchange.py
@@ -1,63 +1,74 @@
-"""What this sidecar tells of what it sees: to peers, to the store, and what it makes of what they say.
+"""Exchange of observations: sends what this sidecar has learned of endpoints to peers and to the store, and
+takes over what they have.
 
-It writes what peers saw into Endpoint records by way of the estimates, and nothing else outside itself."""
+This module updates Endpoint records through the estimates, and writes nothing else outside itself."""
 
 from __future__ import annotations
 
 from heapq import nlargest
 
 from shuntlead import interface as api
-from shuntlead.context import Desk
+from shuntlead.context import Context
 from shuntlead.estimates import Estimates
 from shuntlead.members import Members
 from shuntlead.records import Endpoint
 from shuntlead.shedding import Shedding
 
-TOLD = 256  # endpoints, the first of this sidecar's order: more than it draws from
-PEERS = 4  # told the waits at a time, the first also of endpoints: one sidecar's waits are mostly chance
+MAX_SNAPSHOT_ENDPOINTS = 256  # the first by rank: more than the usual number of candidates
+# Peers that are sent this sidecar's overload pressure at a time, as one sidecar's own value is mostly noise.
+# Only the first of them is also sent observations of endpoints.
+PEERS_PER_ROUND = 4
 
 
-class Talk:
-    def __init__(self, desk: Desk, estimates: Estimates, shedding: Shedding, members: Members) -> None:
-        self._desk, self._estimates, self._shedding, self._members = desk, estimates, shedding, members
-        self._told_at = 0
+class PeerExchange:
+    def __init__(self, ctx: Context, estimates: Estimates, shedding: Shedding, members: Members) -> None:
+        self._ctx, self._estimates, self._shedding, self._members = ctx, estimates, shedding, members
+        self._last_sent_at = 0
 
-    def tell_peer(self) -> None:
-        """One of many sidecars hears too little of any endpoint by itself."""
-        desk, s = self._desk, self._desk.settings
-        if not s.may_message or s.fleet_size < 2 or desk.now - self._told_at < desk.tightest_ns:
+    def send_to_peers(self) -> None:
+        """Sends to some random peers, at most once per shortest target. In a large fleet a sidecar alone has
+        too few samples of each endpoint."""
+        ctx, s = self._ctx, self._ctx.settings
+        if not s.may_message or s.fleet_size < 2 or ctx.now - self._last_sent_at < ctx.min_target_ns:
             return
-        self._told_at = desk.now
-        peers = [(s.self_index + desk.random.randrange(1, s.fleet_size)) % s.fleet_size for _ in range(PEERS)]
-        self.tell_sightings(peers[0])
-        desk.act(*(api.Tell(peer, self._shedding.strain()) for peer in peers[1:]))  # a byte each
-
-    def tell_sightings(self, peer: int) -> None:
-        fresh = nlargest(api.MAX_SIGHTINGS, self._members.ready[:TOLD], key=lambda e: e.slow_at)
-        seen = tuple(self._sighting(e) for e in fresh if e.slow_at)
-        self._desk.act(api.Tell(peer, self._shedding.strain(), seen))
-
-    def hear(self, message: api.PeerMessage) -> None:
-        if message.strain >= 0:  # else it was no message that we can read
-            self._shedding.strain(min(1.0, message.strain), 0.5)
-        self.see(message.sightings)
-
-    def see(self, sightings: tuple[api.Sighting, ...]) -> None:
-        for seen in sightings:
-            if e := self._members.endpoints.get(seen.endpoint):
-                self._estimates.see(e, seen)
-
-    def asked(self, event: api.PeerAsked) -> None:
-        """By a peer that has just started."""
-        if event.sightings:
-            self.tell_sightings(event.peer)
-        if verdicts := self._members.verdicts.own(self._desk.now):
-            self._desk.act(api.TellVerdicts(event.peer, verdicts))
-
-    def remember(self) -> None:
-        """For the next process."""
-        heard = tuple(self._sighting(e) for e in self._members.ready[:TOLD] if e.slow_at > 0)
-        self._desk.act(api.Remember(heard, self._members.verdicts.own(self._desk.now)))
-
-    def _sighting(self, e: Endpoint) -> api.Sighting:
-        return api.Sighting(e.id, e.slow, e.queue, self._desk.now - e.slow_at)
+        self._last_sent_at = ctx.now
+        peers = [
+            (s.self_index + ctx.random.randrange(1, s.fleet_size)) % s.fleet_size
+            for _ in range(PEERS_PER_ROUND)
+        ]
+        self.send_observations(peers[0])
+        ctx.emit(*(api.SendToPeer(peer, self._shedding.pressure()) for peer in peers[1:]))  # one byte each
+
+    def send_observations(self, peer: int) -> None:
+        fresh = nlargest(
+            api.MAX_OBSERVATIONS, self._members.ready[:MAX_SNAPSHOT_ENDPOINTS], key=lambda e: e.slowdown_at
+        )
+        observations = tuple(self._observation(e) for e in fresh if e.slowdown_at)
+        self._ctx.emit(api.SendToPeer(peer, self._shedding.pressure(), observations))
+
+    def on_peer_message(self, message: api.PeerMessage) -> None:
+        if message.pressure >= 0:  # below 0: the message could not be decoded
+            self._shedding.pressure(min(1.0, message.pressure), 0.5)
+        self.add_observations(message.observations)
+
+    def add_observations(self, observations: tuple[api.Observation, ...]) -> None:
+        for observation in observations:
+            if e := self._members.endpoints.get(observation.endpoint):
+                self._estimates.add_observation(e, observation)
+
+    def on_peer_started(self, event: api.PeerStarted) -> None:
+        """Answers a peer that has just started."""
+        if event.observations:
+            self.send_observations(event.peer)
+        if ejections := self._members.ejections.own_ejections(self._ctx.now):
+            self._ctx.emit(api.SendEjections(event.peer, ejections))
+
+    def take_snapshot(self) -> None:
+        """Emits what the next process of this sidecar should know."""
+        observations = tuple(
+            self._observation(e) for e in self._members.ready[:MAX_SNAPSHOT_ENDPOINTS] if e.slowdown_at > 0
+        )
+        self._ctx.emit(api.Snapshot(observations, self._members.ejections.own_ejections(self._ctx.now)))
+
+    def _observation(self, e: Endpoint) -> api.Observation:
+        return api.Observation(e.id, e.slowdown, e.queue, self._ctx.now - e.slowdown_at)
--- a/shuntlead/quotas.py
+++ b/shuntlead/quotas.py
@@ -1,10 +1,10 @@
-"""Fleet-wide tenant limits: `tenants[].quota-per-s` holds across all sidecars, and each sees only its own
-part.
+"""Fleet-wide tenant quotas: `tenants[].quota-per-s` applies to all sidecars together, while each sees only
+its own part of the traffic.
 
-Each sidecar tells what its tenants ask of it, and passes on what it heard of the others (gossip; each report
-keeps its own age). A tenant's fleet-wide rate is the sum of the reports that are fresh, with the mean of them
-for each sidecar unheard of: with no report at all, its own rate times the fleet's size. Where that is over
-the quota every sidecar admits the same part, quota / rate, so the sum is the quota however the traffic is
+Each sidecar reports the request rates of its tenants and passes on the reports of others (gossip; each report
+keeps its own age). A tenant's fleet-wide rate is the sum of the fresh reports, counting their mean for each
+sidecar without one: if there is no report at all, the own rate times the fleet size. Where it exceeds the
+quota, every sidecar admits the same share, quota / rate, so that the sum is the quota however the traffic is
 spread.
 """
 
@@ -16,94 +16,116 @@
 from shuntlead.interface import Settings, TenantReport
 from shuntlead.rate import Rate
 
-HALF_NS = 1_000_000_000  # memory of a tenant's rate: short against a burst, long against chance
-FRESH_NS = 3_000_000_000  # the declared bound on staleness: an older report is as none
-TELL_NS = 200_000_000  # between two reports, each to one peer: 5 datagrams a second
-NEAR = 0.7  # part of a quota from which on reports are sent: far below it there is nothing to share
-PARTS_NS = 50_000_000  # a request does not wait for the sum over a large fleet
-TIGHTEN, LOOSEN = 0.9, 1.01  # of what is admitted over the quotas, each PARTS_NS: under strain, and else
-LEAST_PART = 0.1  # admitted of a tenant however far over: an estimate may be wrong
-FEW, FEW_PART = 0.25, 0.5  # with reports of fewer of the others it may be far off, and more is admitted
+RATE_HALF_LIFE_NS = 1_000_000_000  # short enough to follow a burst, long enough to average out chance
+REPORT_LIFETIME_NS = 3_000_000_000  # the documented bound on staleness: older reports are ignored
+REPORT_INTERVAL_NS = 200_000_000  # between two reports, each to one peer: 5 datagrams per second
+REPORT_THRESHOLD = 0.7  # share of a quota from which reports are sent; far below it they change nothing
+SHARES_REFRESH_NS = 50_000_000  # so that not every request waits for the sum over a large fleet
+# Factors on the admitted multiple of the quotas, once per SHARES_REFRESH_NS: while the servers are
+# overloaded, and otherwise.
+SLACK_DECREASE, SLACK_INCREASE = 0.9, 1.01
+MIN_ADMITTED_SHARE = 0.1  # of any tenant's requests, however far over its quota: the estimate may be wrong
+# With reports from a smaller share of the other sidecars the estimate may be far off, and at least this share
+# of the requests is admitted.
+MIN_REPORTED_SHARE, MIN_ADMITTED_SHARE_UNINFORMED = 0.25, 0.5
 
 
 class Quotas:
     def __init__(self, settings: Settings) -> None:
         self._self, self._size = settings.self_index, settings.fleet_size
         self.quotas = [tenant.quota_per_s for tenant in settings.tenants]
-        self._asked = [Rate(HALF_NS) for _ in self.quotas]
-        self._beside: tuple[int, tuple[float, ...]] = (0, ())  # of an upgrade's other process, until when
-        self._slack = 1e9  # over the quotas, as far as the servers bear it
-        self._credit = [0.0] * len(self.quotas)  # admitted are whole requests
-        self._parts: tuple[int, list[float]] = (-PARTS_NS, [])  # as last reckoned
-        self._heard: dict[int, tuple[int, tuple[float, ...]]] = {}  # sidecar -> when measured, its rates
-
-    def take(self, now: int, tenant: int) -> None:
-        """A request of it has come."""
-        if tenant < len(self._asked):
-            self._asked[tenant].add(now)
-
-    def here(self, now: int) -> tuple[float, ...]:
-        """Requests a second that each tenant asks of this process."""
-        return tuple(rate.read(now) * 1e9 for rate in self._asked)
-
-    def own(self, now: int) -> tuple[float, ...]:
-        """The same of this sidecar: in an upgrade, of both its processes."""
-        until, beside = self._beside
-        rates = self.here(now)
-        return tuple(a + b for a, b in zip(rates, beside, strict=True)) if now < until else rates
-
-    def hear_beside(self, until: int, rates: tuple[float, ...]) -> None:
+        self._rates = [Rate(RATE_HALF_LIFE_NS) for _ in self.quotas]
+        # Rates at the other process of this sidecar during an upgrade, and until when they are valid.
+        self._other_process: tuple[int, tuple[float, ...]] = (0, ())
+        self._slack = 1e9  # multiple of their quotas that tenants may use at present
+        self._credit = [0.0] * len(self.quotas)  # sum of admitted shares not yet used for a whole request
+        self._shares: tuple[int, list[float]] = (-SHARES_REFRESH_NS, [])  # when computed, share per tenant
+        self._reports: dict[int, tuple[int, tuple[float, ...]]] = {}  # sidecar -> (when measured, rates)
+
+    def on_request(self, now: int, tenant: int) -> None:
+        """Counts a request of the tenant."""
+        if tenant < len(self._rates):
+            self._rates[tenant].add(now)
+
+    def process_rates(self, now: int) -> tuple[float, ...]:
+        """Requests per second of each tenant at this process."""
+        return tuple(rate.read(now) * 1e9 for rate in self._rates)
+
+    def sidecar_rates(self, now: int) -> tuple[float, ...]:
+        """The same for this sidecar: during an upgrade, the sum over both of its processes."""
+        until, other = self._other_process
+        rates = self.process_rates(now)
+        return tuple(a + b for a, b in zip(rates, other, strict=True)) if now < until else rates
+
+    def set_other_rates(self, until: int, rates: tuple[float, ...]) -> None:
         if len(rates) == len(self.quotas):
-            self._beside = until, rates
+            self._other_process = until, rates
 
-    def hear(self, now: int, reports: Iterable[TenantReport]) -> None:
-        """What sidecars were asked for; of two reports of one the later holds, whoever passed it on."""
+    def add_reports(self, now: int, reports: Iterable[TenantReport]) -> None:
+        """Stores reports; of two on the same sidecar the later measurement is kept, whoever passed it on."""
         for report in reports:
             at = now - max(0, report.age_ns)
-            known = self._heard.get(report.sidecar, (-FRESH_NS, ()))[0]
-            sound = report.sidecar != self._self and report.sidecar < self._size
-            if sound and at > known and now - at < FRESH_NS and len(report.rates) == len(self.quotas):
-                self._heard[report.sidecar] = at, report.rates
-
-    def fresh(self, now: int) -> dict[int, tuple[int, tuple[float, ...]]]:
-        self._heard = {n: row for n, row in self._heard.items() if now - row[0] < FRESH_NS}
-        return self._heard
-
-    def fleet(self, now: int) -> list[float]:
-        """Requests a second that each tenant asks of the whole fleet, as far as is known."""
-        rows = [self.own(now), *(rates for _, rates in self.fresh(now).values())]
+            known_at = self._reports.get(report.sidecar, (-REPORT_LIFETIME_NS, ()))[0]
+            valid = report.sidecar != self._self and report.sidecar < self._size
+            if (
+                valid
+                and at > known_at
+                and now - at < REPORT_LIFETIME_NS
+                and len(report.rates) == len(self.quotas)
+            ):
+                self._reports[report.sidecar] = at, report.rates
+
+    def fresh_reports(self, now: int) -> dict[int, tuple[int, tuple[float, ...]]]:
+        """The reports within their lifetime; drops all others."""
+        self._reports = {n: row for n, row in self._reports.items() if now - row[0] < REPORT_LIFETIME_NS}
+        return self._reports
+
+    def fleet_rates(self, now: int) -> list[float]:
+        """Estimated requests per second of each tenant over the whole fleet."""
+        rows = [self.sidecar_rates(now), *(rates for _, rates in self.fresh_reports(now).values())]
         return [sum(column) / len(rows) * self._size for column in zip(*rows, strict=True)]
 
-    def part(self, now: int, tenant: int, strained: bool) -> float:
-        """The part of a tenant's requests that is admitted: what its quota has room for, and more by as much
-        as the servers have borne of late. With all or nothing by the moment's strain, a flood comes
-        and goes with the lag of the servers' reports, and each time fills their queues."""
-        passed, parts = now - self._parts[0], self._parts[1]
-        if passed >= PARTS_NS:
-            pairs = zip(self.fleet(now), self.quotas, strict=True)
-            over = [max(1.0, rate / quota) if quota > 0 else 1.0 for rate, quota in pairs]
-            steps = min(passed / PARTS_NS, 10.0)
-            slack = min(self._slack, max(over)) * (TIGHTEN if strained else LOOSEN) ** steps
+    def admitted_share(self, now: int, tenant: int, overloaded: bool) -> float:
+        """The share of a tenant's requests that is admitted: its quota, and more by a factor that the servers
+        have recently sustained. If the excess were admitted or refused as a whole by their present load, it
+        would switch on and off with the delay of their reports and fill their queues each time."""
+        elapsed, shares = now - self._shares[0], self._shares[1]
+        if elapsed >= SHARES_REFRESH_NS:
+            pairs = zip(self.fleet_rates(now), self.quotas, strict=True)
+            excesses = [max(1.0, rate / quota) if quota > 0 else 1.0 for rate, quota in pairs]
+            steps = min(elapsed / SHARES_REFRESH_NS, 10.0)
+            slack = (
+                min(self._slack, max(excesses)) * (SLACK_DECREASE if overloaded else SLACK_INCREASE) ** steps
+            )
             self._slack = max(1.0, slack)
-            least = LEAST_PART if len(self._heard) >= FEW * (self._size - 1) else FEW_PART
-            parts = [min(1.0, max(least, self._slack / times)) for times in over]
-            self._parts = now, parts
-        return parts[tenant]
-
-    def admit(self, now: int, tenant: int, strained: bool) -> bool:
-        """Whether this request is among the part. Evenly, not by a draw: that alone would be 5 % off."""
-        if tenant >= len(self.quotas) or (part := self.part(now, tenant, strained)) >= 1.0:
+            min_share = (
+                MIN_ADMITTED_SHARE
+                if len(self._reports) >= MIN_REPORTED_SHARE * (self._size - 1)
+                else MIN_ADMITTED_SHARE_UNINFORMED
+            )
+            shares = [min(1.0, max(min_share, self._slack / excess)) for excess in excesses]
+            self._shares = now, shares
+        return shares[tenant]
+
+    def admit(self, now: int, tenant: int, overloaded: bool) -> bool:
+        """Whether this request is within the admitted share. Requests are admitted at even intervals: a
+        random choice would deviate by 5 %."""
+        if tenant >= len(self.quotas) or (share := self.admitted_share(now, tenant, overloaded)) >= 1.0:
             return True
-        self._credit[tenant] += part
+        self._credit[tenant] += share
         admitted = self._credit[tenant] >= 1.0
         self._credit[tenant] -= admitted
         return admitted
 
-    def is_near(self, now: int) -> bool:
-        return any(rate > NEAR * quota > 0 for rate, quota in zip(self.fleet(now), self.quotas, strict=True))
-
-    def reports(self, now: int, most: int) -> tuple[TenantReport, ...]:
-        """This sidecar's own and the latest others, for a peer."""
-        others = nlargest(most - 1, self.fresh(now).items(), key=lambda item: item[1][0])
-        return (TenantReport(self._self, 0, self.own(now)),
+    def should_report(self, now: int) -> bool:
+        """Whether any tenant is near its quota."""
+        return any(
+            rate > REPORT_THRESHOLD * quota > 0
+            for rate, quota in zip(self.fleet_rates(now), self.quotas, strict=True)
+        )
+
+    def reports(self, now: int, limit: int) -> tuple[TenantReport, ...]:
+        """At most `limit` reports for a peer: this sidecar's own and the latest of the others."""
+        others = nlargest(limit - 1, self.fresh_reports(now).items(), key=lambda item: item[1][0])
+        return (TenantReport(self._self, 0, self.sidecar_rates(now)),
                 *(TenantReport(n, now - at, rates) for n, (at, rates) in others))  # fmt: skip
--- a/shuntlead/rate.py
+++ b/shuntlead/rate.py
@@ -1,11 +1,13 @@
-"""How much comes a second, of late."""
+"""An exponentially decaying rate counter."""
 
 from __future__ import annotations
 
 from math import exp2
 
 
-class Rate:  # amounts per ns, with a memory that halves each half_ns
+class Rate:
+    """An amount per nanosecond, in which the weight of past amounts halves every half_ns."""
+
     __slots__ = ("at", "half_ns", "value")
 
     def __init__(self, half_ns: int) -> None:
@@ -17,4 +19,5 @@
         return self.value
 
     def add(self, now: int, amount: float = 1.0) -> None:
-        self.value = self.read(now) + amount * 0.693 / self.half_ns  # ln 2: a steady rate reads as itself
+        # The factor ln 2 makes the value of a steady stream converge to its actual rate.
+        self.value = self.read(now) + amount * 0.693 / self.half_ns
--- a/shuntlead/shedding.py
+++ b/shuntlead/shedding.py
@@ -1,105 +1,122 @@
-"""How strained the endpoints are, by the waits and by their reports, and which requests are refused for it.
+"""Load shedding: measures how overloaded the endpoints are, by response times and by the load that they
+report, and decides which requests to refuse for it.
 
-It keeps its own rates, and writes the part of an endpoint's cores in use."""
+This module keeps its own rates and writes the utilization of Endpoint records."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from math import exp2, sqrt
 
-from shuntlead.context import Desk
+from shuntlead.context import Context
 from shuntlead.estimates import Estimates
 from shuntlead.rate import Rate
 from shuntlead.records import Endpoint, Pending
 
-CALM, ROOM = 0.5, 0.25  # share of the target that answers may take; part of what idle ones leave of it
-STRAIN_ALPHA, STEEP = 0.3, 0.6  # waits are learned fast, and refused in full well before all is late
-MOST_STRAIN = 0.95  # some requests go out whatever the waits, or nothing would be learned
-BUSY_ALPHA, SPARE = 0.1, 0.75  # endpoints whose cores are in use for a smaller part surely keep up
-CHANCE = 4.0  # open requests a short memory may easily have missed
-EXCESS_ROOM, SHARE_SLACK = 0.5, 1.5  # room for a tenant beyond its share; usage differs by that much anyhow
+# Share of the target that response times may use before requests are refused. Where idle endpoints need more,
+# a share of what they leave of the target is allowed on top of theirs.
+ACCEPTABLE_SHARE, IDLE_HEADROOM = 0.5, 0.25
+# Weight of a new sample; and the range above the acceptable share, relative to what remains of the target,
+# over which the refused share grows to its maximum: it gets there well before all answers are late.
+PRESSURE_ALPHA, FULL_SHED_RANGE = 0.3, 0.6
+MAX_PRESSURE = 0.95  # limit of the refused share: without any requests no recovery would be noticed
+UTIL_ALPHA, BUSY_UTIL = 0.1, 0.75  # weight of a new sample; below this CPU utilization endpoints keep up
+OPEN_ALLOWANCE = 4.0  # open requests allowed beyond the estimate, as a short average misses some
+# For requests beyond their tenant's share: the factor on the limit that applies to them, and how far above
+# its share a tenant's usage may be by ordinary variation.
+EXCESS_TENANT_FACTOR, TENANT_SHARE_SLACK = 0.5, 1.5
 
 
 class Shedding:
-    def __init__(self, desk: Desk, estimates: Estimates) -> None:
-        self._desk, self._estimates, s = desk, estimates, desk.settings
-        self._calm = CALM + (1 - CALM) * min(c.late_worth for c in s.classes)  # late is no total loss
-        self._tenant_rates = [Rate(desk.forget_ns) for _ in s.tenants]
-        self.answered = Rate(desk.tightest_ns)  # in time
-        self._strain, self._strain_at = 0.0, 0  # as the usual share of the target, of late, all attempts
-        self._reported = "util" in s.report_columns
-        # Mean part of the endpoints' cores in use, by their reports of late. Taken for full before
-        # any has come, a process that has just started refuses what idle endpoints would serve.
-        self.busy, self._reports = 0.0 if self._reported else 1.0, 0
+    def __init__(self, ctx: Context, estimates: Estimates) -> None:
+        self._ctx, self._estimates, s = ctx, estimates, ctx.settings
+        # Higher where late answers keep some of their value.
+        self._acceptable_share = ACCEPTABLE_SHARE + (1 - ACCEPTABLE_SHARE) * min(
+            c.late_worth for c in s.classes
+        )
+        self._tenant_rates = [Rate(ctx.half_life_ns) for _ in s.tenants]
+        self.in_time_answers = Rate(ctx.min_target_ns)  # answers before their target
+        self._pressure, self._pressure_at = 0.0, 0  # recent share of the target used, over all attempts
+        self._reports_util = "util" in s.report_columns
+        # Mean CPU utilization by recent reports; always 1 if endpoints do not report it. It starts at 0: if
+        # they counted as busy before the first report, a process that has just started would refuse what idle
+        # endpoints can serve.
+        self.utilization, self._reports = 0.0 if self._reports_util else 1.0, 0
         self._util_column = (*s.report_columns, "util").index("util")
 
-    def asked(self, tenant: int) -> None:
+    def on_request(self, tenant: int) -> None:
         if tenant < len(self._tenant_rates):
-            self._tenant_rates[tenant].add(self._desk.now)
+            self._tenant_rates[tenant].add(self._ctx.now)
 
     def on_report(self, e: Endpoint, load: tuple[float, ...]) -> None:
         if self._util_column < len(load) and 0 <= load[self._util_column] <= 2:
             e.util = util = min(load[self._util_column], 1.0)
-            self._see_busy(util)
+            self._add_utilization(util)
 
-    def timed_out(self, e: Endpoint) -> None:
-        """Reports come with answers, and of endpoints that are swamped few come. By the answers alone
-        the fleet looks half idle while most attempts time out; so the mean is over attempts."""
+    def on_timeout(self, e: Endpoint) -> None:
+        """Counts the last reported utilization once more. Reports come with answers, and saturated endpoints
+        answer little: without this the fleet would look half idle while most attempts time out."""
         if e.util:
-            self._see_busy(e.util)
+            self._add_utilization(e.util)
 
-    def _see_busy(self, util: float) -> None:
+    def _add_utilization(self, util: float) -> None:
         self._reports += 1
-        self.busy += max(BUSY_ALPHA, 1 / self._reports) * (util - self.busy)
-
-    def strain(self, sample: float = 0.0, alpha: float = 0.0) -> float:
-        """Share of their targets that attempts took of late, moved toward a sample; it fades with time."""
-        now = self._desk.now
-        strain = self._strain * exp2((self._strain_at - now) / (4 * self._desk.forget_ns))
-        self._strain, self._strain_at = strain + alpha * (sample - strain), now
-        return self._strain
-
-    def is_swamped(self, e: Endpoint) -> bool:
-        """At an endpoint whose cores are all in use a slow answer is queueing, no loss. Given up, it
-        costs that work, a new connection and the next attempt's work: a fleet collapses under its repeats."""
-        return self._reported and max(e.util, self.busy) >= SPARE
-
-    def can_spare(self, share: float) -> bool:
-        """Whether the endpoints could serve what is asked with this share of them fewer: by their reports, or
-        where they report no cores, by the waits."""
-        used = self.busy if self._reported else SPARE * self.strain() / self._calm
-        return used < SPARE * (1 - share)
-
-    def too_busy(self, req: Pending, open_now: int, pending: Iterable[Pending]) -> bool:
-        """`open_now`: of the pending ones, those not yet answered. Past capacity all queues grow
-        until every answer is late."""
-        desk, age = self._desk, self._desk.now - self._desk.started
-        if self.busy < SPARE:  # One sidecar's burst, or its few slow answers, is no overload
+        self.utilization += max(UTIL_ALPHA, 1 / self._reports) * (util - self.utilization)
+
+    def pressure(self, sample: float = 0.0, alpha: float = 0.0) -> float:
+        """The share of their targets that recent attempts used, after adding a sample; decays with time."""
+        now = self._ctx.now
+        pressure = self._pressure * exp2((self._pressure_at - now) / (4 * self._ctx.half_life_ns))
+        self._pressure, self._pressure_at = pressure + alpha * (sample - pressure), now
+        return self._pressure
+
+    def is_saturated(self, e: Endpoint) -> bool:
+        """Whether slow answers are due to queueing at a busy endpoint, so that attempts should not time out
+        early: giving one up wastes its work and costs a new connection and the work of the next attempt.
+        A fleet can collapse under such repeats."""
+        return self._reports_util and max(e.util, self.utilization) >= BUSY_UTIL
+
+    def can_serve_without(self, share: float) -> bool:
+        """Whether the endpoints could serve the present load without this share of them, by the utilization
+        that they report, or by response times where they report none."""
+        used = (
+            self.utilization if self._reports_util else BUSY_UTIL * self.pressure() / self._acceptable_share
+        )
+        return used < BUSY_UTIL * (1 - share)
+
+    def should_shed(self, req: Pending, open_now: int, pending: Iterable[Pending]) -> bool:
+        """Whether to refuse a request because the endpoints are overloaded: beyond their capacity all queues
+        grow until every answer is late. `open_now`: how many of the `pending` are not answered yet."""
+        ctx, age = self._ctx, self._ctx.now - self._ctx.started
+        if self.utilization < BUSY_UTIL:  # a burst or a few slow answers at one sidecar are no overload
             return False
-        if age <= desk.tightest_ns:  # a young sidecar has seen too few answers to know their rate
+        if age <= ctx.min_target_ns:  # too few answers so far to know their rate
             return False
-        part = EXCESS_ROOM if self._is_excess(req.event.tenant) else 1.0
-        # At a sidecar that sends little the room never fills. It refuses by the waits it sees.
-        idle = self._estimates.idle
-        calm = min(max(self._calm, idle + (1 - idle) * ROOM), MOST_STRAIN)
-        busy = desk.random.random() * part < min((self.strain() - calm) / (1 - calm) / STEEP, MOST_STRAIN)
-        # By Little's law, with more requests open than (answers in time per second) x (time in the system)
-        # the last would wait too long. Beside that, a deviation of chance, and what a short memory hides.
-        rate = self.answered.read(desk.now) / (1 - exp2(-age / self.answered.half_ns))
-        room = rate * desk.tightest_ns * calm
-        room = (room + sqrt(room) + CHANCE) * part
-        if not busy and open_now > room:  # What is stuck at a stalled endpoint would fill the room
-            busy = sum(not r.done and desk.now < r.aim for r in pending) > room
-        if busy:
-            waits = f"waits {self.strain():.0%} of targets, {self.busy:.0%} of cores in use"
-            desk.log("refusing", f"{open_now} open, room {room:.0f}, {waits}")
-        return busy
-
-    def _is_excess(self, tenant: int) -> bool:
-        """Whether, by a draw, this falls on what its tenant asks beyond its share. A flood."""
+        factor = EXCESS_TENANT_FACTOR if self._exceeds_share(req.event.tenant) else 1.0
+        # At a sidecar with few requests the limit on open ones is never reached: there response times decide.
+        idle = self._estimates.idle_share
+        acceptable = min(max(self._acceptable_share, idle + (1 - idle) * IDLE_HEADROOM), MAX_PRESSURE)
+        overloaded = ctx.random.random() * factor < min(
+            (self.pressure() - acceptable) / (1 - acceptable) / FULL_SHED_RANGE, MAX_PRESSURE
+        )
+        # By Little's law, with more open requests than (rate of answers in time) x (acceptable time) the last
+        # one would wait too long. Added are one standard deviation and a constant for the short average.
+        rate = self.in_time_answers.read(ctx.now) / (1 - exp2(-age / self.in_time_answers.half_ns))
+        max_open = rate * ctx.min_target_ns * acceptable
+        max_open = (max_open + sqrt(max_open) + OPEN_ALLOWANCE) * factor
+        if not overloaded and open_now > max_open:  # late requests, stuck at a stalled endpoint, don't count
+            overloaded = sum(not r.done and ctx.now < r.target_at for r in pending) > max_open
+        if overloaded:
+            load = f"answers take {self.pressure():.0%} of their targets, CPU {self.utilization:.0%} in use"
+            ctx.log("refusing", f"{open_now} requests open, limit {max_open:.0f}, {load}")
+        return overloaded
+
+    def _exceeds_share(self, tenant: int) -> bool:
+        """Whether this request is taken to be beyond its tenant's share, at random in proportion to how far
+        the tenant exceeds it."""
         if tenant >= len(self._tenant_rates):
             return False
-        now, share = self._desk.now, self._desk.settings.tenants[tenant].share
+        now, share = self._ctx.now, self._ctx.settings.tenants[tenant].share
         rates = [r.read(now) for r in self._tenant_rates]
         others = sum(rates) - rates[tenant]
-        return self._desk.random.random() * rates[tenant] * (1 - share) > others * share * SHARE_SLACK
+        return self._ctx.random.random() * rates[tenant] * (1 - share) > others * share * TENANT_SHARE_SLACK
--- a/shuntlead/simhost.py
+++ b/shuntlead/simhost.py
@@ -1,4 +1,5 @@
-"""The adapter: hosts decision modules on the simulator's wire (standard input and output)."""
+"""Runs decision modules for the simulator, which sends events and reads actions over standard input and
+output."""
 
 from __future__ import annotations
 
@@ -12,28 +13,28 @@
 
 
 class Host:
-    """The instances of this process. They share nothing but the numbered lists of the wire."""
+    """The decision modules of this process, by instance. They share only the numbered endpoint lists."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._sheets: dict[int, tuple[api.Listed, ...]] = {}
+        self._lists: dict[int, tuple[api.ListedEndpoint, ...]] = {}
 
     def handle_batch(self, now_ns: int, count: int, body: bytes) -> list[tuple[int, api.Action]]:
         reply: list[tuple[int, api.Action]] = []
         for instance, event in wire.decode_batch(count, body):
-            if isinstance(event, wire.Sheet):
-                self._sheets[event.number] = event.entries
+            if isinstance(event, wire.NumberedList):
+                self._lists[event.number] = event.entries
                 continue
             try:
-                reply.extend((instance, action) for action in self._one(now_ns, instance, event))
+                reply.extend((instance, action) for action in self._handle_one(now_ns, instance, event))
             except wire.WireError:
                 raise
-            except Exception as error:  # the wire has an action for a decision module that fails
+            except Exception as error:  # the protocol has an action for a failed decision module
                 self._balancers.pop(instance, None)
                 reply.append((instance, api.Fault(f"{type(error).__name__}: {error}")))
         return reply
 
-    def _one(self, now_ns: int, instance: int, event: wire.WireEvent) -> list[api.Action]:
+    def _handle_one(self, now_ns: int, instance: int, event: wire.WireEvent) -> list[api.Action]:
         if isinstance(event, wire.Boot):
             self._balancers.pop(instance, None)
             settings = api.Settings.from_dict(_parse(event.params))
@@ -43,21 +44,21 @@
             self._balancers.pop(instance, None)
             return []
         balancer = self._balancers.get(instance)
-        if balancer is None or isinstance(event, wire.Sheet):
+        if balancer is None or isinstance(event, wire.NumberedList):
             return []
-        if isinstance(event, wire.RosterRef):
+        if isinstance(event, wire.ListRef):
             event = self._resolve(event)
         elif isinstance(event, api.Request) and event.cls >= len(balancer.settings.classes):
             raise api.SettingsError(f"request class {event.cls} is not in the settings")
         return balancer.handle(now_ns, event)
 
-    def _resolve(self, ref: wire.RosterRef) -> api.Roster:
-        form = api.RosterForm(ref.form)
-        if form is api.RosterForm.FAILED:
-            return api.Roster(ref.version, form)
-        if ref.sheet not in self._sheets:
-            raise wire.WireError(f"list {ref.sheet} was never sent")
-        return api.Roster(ref.version, form, self._sheets[ref.sheet])
+    def _resolve(self, ref: wire.ListRef) -> api.EndpointList:
+        form = api.ListForm(ref.form)
+        if form is api.ListForm.FAILED:
+            return api.EndpointList(ref.version, form)
+        if ref.list_number not in self._lists:
+            raise wire.WireError(f"endpoint list {ref.list_number} was not sent")
+        return api.EndpointList(ref.version, form, self._lists[ref.list_number])
 
 
 def _parse(params: bytes) -> dict[str, object]:
@@ -78,7 +79,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends between two of them."""
+    """Answers batches until the input ends after a complete one."""
     host = Host()
     while first := source.read(1):
         header = first + _read_exactly(source, wire.BATCH_HEADER.size - 1)
--- a/shuntlead/tenants.py
+++ b/shuntlead/tenants.py
@@ -1,59 +1,65 @@
-"""Tenants' quotas for the fleet as a whole: what is told and heard of their rates, and who is over.
+"""Fleet-wide tenant quotas: exchanges the tenants' rates with peers and decides which requests exceed a
+quota.
 
-It keeps the Quotas and writes nothing outside itself."""
+This module keeps the Quotas and writes nothing outside itself."""
 
 from __future__ import annotations
 
 from shuntlead import interface as api
-from shuntlead.context import Desk
+from shuntlead.context import Context
 from shuntlead.members import Members
-from shuntlead.peer_codec import most_reports
-from shuntlead.quotas import TELL_NS, Quotas
+from shuntlead.peer_codec import max_reports
+from shuntlead.quotas import REPORT_INTERVAL_NS, Quotas
 from shuntlead.records import Pending
 from shuntlead.shedding import Shedding
 
 
 class Tenants:
-    def __init__(self, desk: Desk, shedding: Shedding, members: Members) -> None:
-        self._desk, self._shedding, self._members = desk, shedding, members
-        self._quotas = Quotas(desk.settings)
+    def __init__(self, ctx: Context, shedding: Shedding, members: Members) -> None:
+        self._ctx, self._shedding, self._members = ctx, shedding, members
+        self._quotas = Quotas(ctx.settings)
 
     def start(self) -> None:
-        s = self._desk.settings
+        """Starts the timer of the reports to peers, at a random time within its interval."""
+        s = self._ctx.settings
         if s.fleet_quotas and s.may_message and s.fleet_size > 1:
-            self._desk.set_timer("quotas", int(self._desk.random.uniform(0, TELL_NS)))
+            self._ctx.set_timer("quotas", int(self._ctx.random.uniform(0, REPORT_INTERVAL_NS)))
 
-    def asked(self, tenant: int) -> None:
-        self._quotas.take(self._desk.now, tenant)
+    def on_request(self, tenant: int) -> None:
+        self._quotas.on_request(self._ctx.now, tenant)
 
     def is_over(self, req: Pending) -> bool:
-        """Whether this is beyond its tenant's quota. Refused only where servers are strained:
-        else it takes nothing from those within theirs."""
-        tenant, now = req.event.tenant, self._desk.now
-        if not self._desk.settings.fleet_quotas or req.attempts:
+        """Whether this request exceeds its tenant's quota. Quotas apply in full only while the servers are
+        overloaded: otherwise the excess takes nothing from the tenants within theirs."""
+        tenant, now = req.event.tenant, self._ctx.now
+        if not self._ctx.settings.fleet_quotas or req.attempts:
             return False
-        if self._quotas.admit(now, tenant, not self._shedding.can_spare(0.0)):
+        if self._quotas.admit(now, tenant, not self._shedding.can_serve_without(0.0)):
             return False
-        times = self._quotas.fleet(now)[tenant] / self._quotas.quotas[tenant]
-        self._desk.log("quota", f"tenant {tenant} asks for {times:.1f} of its quota, fleet-wide")
+        excess = self._quotas.fleet_rates(now)[tenant] / self._quotas.quotas[tenant]
+        self._ctx.log("quota", f"tenant {tenant} sends {excess:.1f} times its fleet-wide quota")
         return True
 
-    def tell(self) -> None:
-        desk, s = self._desk, self._desk.settings
-        desk.set_timer("quotas", TELL_NS)
-        if self._quotas.is_near(desk.now):
-            peer = s.self_index + desk.random.randrange(1, s.fleet_size)
-            reports = self._quotas.reports(desk.now, most_reports(len(s.tenants)))
-            desk.act(api.TellReports(peer % s.fleet_size, reports))
-
-    def hear(self, event: api.TenantReports) -> None:
-        self._quotas.hear(self._desk.now, event.reports)
-
-    def hear_beside(self, event: api.Beside) -> None:
-        self._quotas.hear_beside(self._desk.now + event.left_ns, event.rates)
-
-    def share(self, event: api.TakeReports) -> None:
-        now = self._desk.now
-        reports = self._quotas.reports(now, self._desk.settings.fleet_size)
-        here, fleet = self._quotas.here(now), tuple(self._quotas.fleet(now))
-        self._desk.act(api.ShareReports(here, reports, fleet, self._members.verdicts.standing(now)))
+    def send_reports(self) -> None:
+        """Sends the reports to a random peer, on a timer, while some tenant is near its quota."""
+        ctx, s = self._ctx, self._ctx.settings
+        ctx.set_timer("quotas", REPORT_INTERVAL_NS)
+        if self._quotas.should_report(ctx.now):
+            peer = s.self_index + ctx.random.randrange(1, s.fleet_size)
+            reports = self._quotas.reports(ctx.now, max_reports(len(s.tenants)))
+            ctx.emit(api.SendReports(peer % s.fleet_size, reports))
+
+    def add_reports(self, event: api.TenantReports) -> None:
+        self._quotas.add_reports(self._ctx.now, event.reports)
+
+    def set_other_rates(self, event: api.OtherProcessRates) -> None:
+        self._quotas.set_other_rates(self._ctx.now + event.left_ns, event.rates)
+
+    def share_reports(self, event: api.TakeReports) -> None:
+        """Emits all rates and reports, for the other process of an upgrade or for an operator."""
+        now = self._ctx.now
+        reports = self._quotas.reports(now, self._ctx.settings.fleet_size)
+        process_rates, fleet_rates = self._quotas.process_rates(now), tuple(self._quotas.fleet_rates(now))
+        self._ctx.emit(
+            api.ShareReports(process_rates, reports, fleet_rates, self._members.ejections.active(now))
+        )
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -40,9 +40,9 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.requests: dict[int, Ledger] = {}
-        self.told: dict[int, api.Listed] = {}
+        self.told: dict[int, api.ListedEndpoint] = {}
         self.barred_since: dict[int, int] = {}
-        self.ever: dict[int, api.Listed] = {}
+        self.ever: dict[int, api.ListedEndpoint] = {}
         self.lines: dict[int, list[int]] = {}  # in-order requests by key, as taken
 
     def event(self, now: int, event: api.Event) -> None:
@@ -63,13 +63,13 @@
                 if int(event.status) in MAY_RUN_ON:
                     ledger.rests_until = now + self.settings.order_settle_ns
                 ledger.answered = ledger.answered or event.finished
-            case api.Roster() if event.form != api.RosterForm.FAILED:
+            case api.EndpointList() if event.form != api.ListForm.FAILED:
                 self._roster(now, event)
             case _:
                 pass
 
-    def _roster(self, now: int, roster: api.Roster) -> None:
-        if roster.form != api.RosterForm.DELTA:
+    def _roster(self, now: int, roster: api.EndpointList) -> None:
+        if roster.form != api.ListForm.DELTA:
             for endpoint in set(self.told) - {row.endpoint for row in roster.entries}:
                 del self.told[endpoint]
                 self.barred_since.setdefault(endpoint, now)
@@ -96,7 +96,7 @@
                     assert action.attempt < len(self.requests[action.request].copies), "unknown attempt"
                 case api.Probe():
                     assert self.settings.may_probe
-                case api.Tell():
+                case api.SendToPeer():
                     assert self.settings.may_message
                 case api.SetTimer():
                     assert 0 <= action.delay_ns <= 71 * 60 * 10**9
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -54,7 +54,7 @@
     def at(self, when: int, do: Callable[[], None]) -> None:
         heapq.heappush(self._events, (when, next(self._order), do))
 
-    def rows(self) -> list[api.Listed]:
+    def rows(self) -> list[api.ListedEndpoint]:
         old = [listed(n, state=self.states.get(n, api.EndpointState.READY)) for n in self.warm]
         return old + [listed(n, started_ns=self.started) for n in self.cold if self.started]
 
@@ -63,12 +63,12 @@
         changes = self._changes | {"self_index": n // self.processes}
         car = Balancer(settings(**changes), self.random.getrandbits(32))
         self.cars[n : n + 1] = [car]
-        self._act(car, car.handle(self.now, api.Roster(1, api.RosterForm.FULL, tuple(self.rows()))))
+        self._act(car, car.handle(self.now, api.EndpointList(1, api.ListForm.FULL, tuple(self.rows()))))
 
     def tell(self) -> None:
         """All sidecars the list as it is now."""
         for car in self.cars:
-            self._act(car, car.handle(self.now, api.Roster(2, api.RosterForm.DELTA, tuple(self.rows()))))
+            self._act(car, car.handle(self.now, api.EndpointList(2, api.ListForm.DELTA, tuple(self.rows()))))
 
     def run(self, seconds: float, then: Callable[[ColdFleet], None] | None = None) -> Worst:
         """Traffic till the fleet has learned, then the cold servers, and `then` at their start."""
--- a/tests/scale/check.py
+++ b/tests/scale/check.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.scale.job import TOLD, sightings
+from tests.scale.job import TOLD, observations
 from tests.scale.listing import Listing, line
 from tests.scale.measure import Meter, Spread
 from tests.scale.real import RealSidecar, real_sidecar
@@ -43,7 +43,7 @@
         figures["cpu_idle"] = Spread.of(windows)
         figures |= await _changes(car, listing, store, changes, Spread.of(windows).median)
         if learned:
-            figures["cpu_learned"] = await _learned(car, sightings(listing.rows), idle_s)
+            figures["cpu_learned"] = await _learned(car, observations(listing.rows), idle_s)
         return figures
 
 
--- a/tests/scale/decider.py
+++ b/tests/scale/decider.py
@@ -10,7 +10,7 @@
 from anisespool.servers import Servers
 from shuntlead import Balancer, Settings
 from shuntlead import interface as api
-from shuntlead.interface import RosterForm
+from shuntlead.interface import ListForm
 from tests.net import settings_json
 from tests.scale.listing import EPOCH_MS, SKUS, ZONES, Listing
 from tests.support import SECOND
@@ -33,9 +33,9 @@
 
     def take(self, raw: dict[str, object]) -> None:
         update = self._names.member_list(raw)
-        form = RosterForm.FULL if update.complete else RosterForm.DELTA
+        form = ListForm.FULL if update.complete else ListForm.DELTA
         entries = tuple(row for _, row in self.servers.apply(update, form).rows)
-        self.balancer.handle(self.now, api.Roster(update.revision, form, entries))
+        self.balancer.handle(self.now, api.EndpointList(update.revision, form, entries))
 
     def serve(self, count: int, asked: Callable[[float], None] = lambda s: None,
               answered: Callable[[float], None] = lambda s: None) -> None:  # fmt: skip
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -19,7 +19,7 @@
 from anisespool.state.list_snapshot import ListSnapshot
 from anisespool.state.store import ListHead, Store
 from anisespool.upgrade_locks import Pair
-from shuntlead.interface import RosterForm
+from shuntlead.interface import ListForm
 from tests.net import member_list, settings_json
 from tests.scale.listing import HEAD, SKUS, ZONES, Row, chunk
 
@@ -99,7 +99,7 @@
         self._parser = http1.ResponseParser(lambda data: self._chunks.append(data))
         self._tasks: list[asyncio.Task[None]] = []
         self._waiting: list[asyncio.Task[None]] = []
-        self.sidecar.listed(config.known, RosterForm.CACHED)
+        self.sidecar.listed(config.known, ListForm.CACHED)
         self._parser.feed(HEAD)
 
     def _ordered(self, servers: Iterable[str]) -> None:
--- a/tests/scale/job.py
+++ b/tests/scale/job.py
@@ -17,7 +17,7 @@
 
 from anisespool.peers import RELEASE, shared_id
 from shuntlead import interface as api
-from shuntlead.peer_codec import encode_peer
+from shuntlead.peer_codec import encode_peer_message
 from tests.scale.decider import Decider
 from tests.scale.hollow import Hollow, read_config, write_config
 from tests.scale.listing import Listing, line
@@ -120,7 +120,7 @@
 
     def _hear_all(self) -> None:
         """Datagrams with what peers saw of every server."""
-        hear, self._datagrams = Times(), sightings(self.hollows[0].sidecar.servers.numbers)
+        hear, self._datagrams = Times(), observations(self.hollows[0].sidecar.servers.numbers)
         for _ in self._datagrams:
             before = self.meter.cpu_s()
             self._hear(self.hollows)
@@ -135,11 +135,11 @@
             hollow.sidecar.peers.datagram_received(self._datagrams[-1], hollow.sidecar.peers.addresses[1])
 
 
-def sightings(ids: Iterable[str]) -> list[bytes]:
+def observations(ids: Iterable[str]) -> list[bytes]:
     """What peers tell of all these servers, in full datagrams."""
-    seen = [api.Sighting(shared_id(member_id), 1.5, 1.0, 0) for member_id in ids]
-    return [RELEASE + encode_peer(0.1, tuple(seen[at : at + api.MAX_SIGHTINGS]))
-            for at in range(0, len(seen), api.MAX_SIGHTINGS)]  # fmt: skip
+    seen = [api.Observation(shared_id(member_id), 1.5, 1.0, 0) for member_id in ids]
+    return [RELEASE + encode_peer_message(0.1, tuple(seen[at : at + api.MAX_OBSERVATIONS]))
+            for at in range(0, len(seen), api.MAX_OBSERVATIONS)]  # fmt: skip
 
 
 def _has(hollow: Hollow, rows: dict[str, Any]) -> bool:
--- a/tests/scale_fleet/__main__.py
+++ b/tests/scale_fleet/__main__.py
@@ -49,7 +49,7 @@
         out += [partial(gossip_scenarios.rates, size, seed, n) for n in gossip_scenarios.TENANTS_PLAYED]
         for play_of in (scenarios.needed, scenarios.region, scenarios.steady, scenarios.answers,
                         scenarios.lost, scenarios.restarts, gossip_scenarios.talk, gossip_scenarios.warm,
-                        gossip_scenarios.verdicts, gossip_scenarios.ids, cost):  # fmt: skip
+                        gossip_scenarios.ejections, gossip_scenarios.ids, cost):  # fmt: skip
             out.append(partial(play_of, size, seed))
     return out
 
--- a/tests/scale_fleet/collisions.py
+++ b/tests/scale_fleet/collisions.py
@@ -9,7 +9,7 @@
 from anisespool.config import Address, Member, MemberList
 from anisespool.peers import shared_id
 from anisespool.servers import Servers
-from shuntlead.interface import EndpointState, Listed, RosterForm
+from shuntlead.interface import EndpointState, ListedEndpoint, ListForm
 
 NAMES = 300_000  # made, to count pairs among: some ten
 
@@ -57,11 +57,11 @@
     """By the real list."""
     servers, names = Servers({}, 0), pair(seed)
     members = [_member(name, EndpointState.READY) for name in names]
-    servers.apply(MemberList(1, True, tuple(members)), RosterForm.FULL)
+    servers.apply(MemberList(1, True, tuple(members)), ListForm.FULL)
     both = servers.names_of(servers.by_shared.values())
-    servers.apply(MemberList(2, False, (_member(names[1], EndpointState.GONE),)), RosterForm.DELTA)
+    servers.apply(MemberList(2, False, (_member(names[1], EndpointState.GONE),)), ListForm.DELTA)
     return Alike(both, servers.names_of(servers.by_shared.values()))
 
 
 def _member(name: str, state: EndpointState) -> Member:
-    return Member(name, Address("10.0.0.1", 5000), Listed(0, 1.0, 0, 0, 0, state, 0))
+    return Member(name, Address("10.0.0.1", 5000), ListedEndpoint(0, 1.0, 0, 0, 0, state, 0))
--- a/tests/scale_fleet/datagrams.py
+++ b/tests/scale_fleet/datagrams.py
@@ -13,12 +13,12 @@
 from anisespool.fleet.shared_state import verdicts_datagrams
 from anisespool.peers import MAX_DATAGRAM, RELEASE, shared_id
 from anisespool.state import peer_lists
-from shuntlead.interface import MAX_SIGHTINGS, Sighting, Status, Verdict
-from shuntlead.members import VERDICT_AGAIN_NS, VERDICT_REPEAT_NS, VERDICT_REPEATS
-from shuntlead.outliers import BASE_NS, Verdicts, quorum
-from shuntlead.peer_codec import encode_peer
-from shuntlead.peer_exchange import PEERS
-from shuntlead.selection import FEWEST
+from shuntlead.interface import MAX_OBSERVATIONS, Ejection, Observation, Status
+from shuntlead.members import EJECTION_REPEAT_NS, EJECTION_REPEATS, EJECTION_RESEND_NS
+from shuntlead.outliers import FIRST_EJECTION_NS, OutlierDetector, quorum
+from shuntlead.peer_codec import encode_peer_message
+from shuntlead.peer_exchange import PEERS_PER_ROUND
+from shuntlead.selection import MIN_CANDIDATES
 from tests.scale_fleet.course import late
 from tests.scale_fleet.lines import ZONES
 
@@ -26,7 +26,9 @@
 DELAY_S = 0.028
 TIGHTEST_S, LONGEST_S = 0.2, 0.7  # targets: sidecars talk each of the first, their subset is by the last
 REQUESTS_S = 187.0
-SUBSET = FEWEST + int(REQUESTS_S * LONGEST_S)  # servers a sidecar sends to, and sidecars that a server has
+SUBSET = MIN_CANDIDATES + int(
+    REQUESTS_S * LONGEST_S
+)  # servers a sidecar sends to, and sidecars that a server has
 
 
 class Talked(NamedTuple):
@@ -41,8 +43,8 @@
 
 def sizes() -> tuple[int, int]:
     """Of a datagram with sightings, and of one with the waits alone."""
-    full = tuple(Sighting(n, 1.0, 1.0, 0) for n in range(MAX_SIGHTINGS))
-    long, short = (len(RELEASE + encode_peer(0.5, seen)) for seen in (full, ()))
+    full = tuple(Observation(n, 1.0, 1.0, 0) for n in range(MAX_OBSERVATIONS))
+    long, short = (len(RELEASE + encode_peer_message(0.5, seen)) for seen in (full, ()))
     if long > MAX_DATAGRAM:
         raise ValueError(f"{long} bytes")
     return long + HEADER_BYTES, short + HEADER_BYTES
@@ -54,12 +56,12 @@
     heard = [0] * size
     rounds = round(1 / TIGHTEST_S)
     for me in range(size):
-        for n in range(rounds * PEERS):
-            heard[(me + draw.randrange(1, size)) % size] += short if n % PEERS else long
+        for n in range(rounds * PEERS_PER_ROUND):
+            heard[(me + draw.randrange(1, size)) % size] += short if n % PEERS_PER_ROUND else long
     heard.sort()
     useful = min(1.0, SUBSET / size)
-    again_s = min(size, SUBSET) / (rounds * MAX_SIGHTINGS * useful)
-    return Talked(size, rounds * PEERS, rounds * (long + (PEERS - 1) * short),
+    again_s = min(size, SUBSET) / (rounds * MAX_OBSERVATIONS * useful)
+    return Talked(size, rounds * PEERS_PER_ROUND, rounds * (long + (PEERS_PER_ROUND - 1) * short),
                   heard[int(0.99 * size)], heard[-1], useful, again_s)  # fmt: skip
 
 
@@ -75,8 +77,8 @@
 
 def failures_to_eject() -> int:
     """In a row, by the real verdicts of a sidecar whose other attempts succeed."""
-    verdicts, count = Verdicts(1000), 1
-    while not verdicts.observe(0, 1, Status.RESET):
+    ejections, count = OutlierDetector(1000), 1
+    while not ejections.on_attempt_end(0, 1, Status.RESET):
         count += 1
     return count
 
@@ -93,10 +95,10 @@
         tellers.append(own_s)
     for n in range(size):
         known.append(tellers[n] if n < len(tellers) else _quorum_s(draw, tellers, need, loss))
-    [data] = verdicts_datagrams([Verdict(1, BASE_NS, Status.RESET)])
+    [data] = verdicts_datagrams([Ejection(1, FIRST_EJECTION_NS, Status.RESET)])
     one = len(data) + HEADER_BYTES
-    told = VERDICT_REPEATS + (BASE_NS // VERDICT_AGAIN_NS)
-    zone = one * VERDICT_REPEATS * len(tellers) * (size / ZONES)
+    told = EJECTION_REPEATS + (FIRST_EJECTION_NS // EJECTION_RESEND_NS)
+    zone = one * EJECTION_REPEATS * len(tellers) * (size / ZONES)
     return Ejected(size, *late(known, size), len(tellers), one * told * len(tellers), zone,
                    one * told * (size - 1))  # fmt: skip
 
@@ -109,7 +111,7 @@
 def _heard_after_s(draw: random.Random, loss: float) -> float:
     after_s, told = 0.0, 1
     while draw.random() < loss:
-        after_s += (VERDICT_REPEAT_NS if told < VERDICT_REPEATS else VERDICT_AGAIN_NS) / 1e9
+        after_s += (EJECTION_REPEAT_NS if told < EJECTION_REPEATS else EJECTION_RESEND_NS) / 1e9
         told += 1
     return after_s + draw.uniform(0.001, DELAY_S)
 
--- a/tests/scale_fleet/gossip_scenarios.py
+++ b/tests/scale_fleet/gossip_scenarios.py
@@ -4,8 +4,8 @@
 
 import statistics
 
-from shuntlead.peer_codec import most_reports
-from shuntlead.quotas import FEW, FRESH_NS, TELL_NS
+from shuntlead.peer_codec import max_reports
+from shuntlead.quotas import MIN_REPORTED_SHARE, REPORT_INTERVAL_NS, REPORT_LIFETIME_NS
 from tests.scale_fleet import collisions, datagrams, tenants
 from tests.scale_fleet.lines import BUDGET_BYTES_S
 from tests.scale_fleet.tables import Row, over
@@ -24,7 +24,7 @@
     return [Row("g. sightings and waits:", "20 datagrams a second", size, figures, broken)]
 
 
-def verdicts(size: int, seed: int) -> list[Row]:
+def ejections(size: int, seed: int) -> list[Row]:
     rows = []
     for loss in LOSSES:
         plays = [datagrams.eject(size, loss, seed * EJECTIONS + n) for n in range(EJECTIONS)]
@@ -55,13 +55,13 @@
 
 def rates(size: int, seed: int, count: int) -> list[Row]:
     """Not played in large fleets: there `at most` says all, what a sidecar can hear while it is fresh."""
-    at_most = min(1.0, FRESH_NS // TELL_NS * most_reports(count) / (size - 1))
-    figures = {"reports a datagram": float(most_reports(count)), "part heard at most": at_most}
-    broken = at_most < FEW
+    at_most = min(1.0, REPORT_LIFETIME_NS // REPORT_INTERVAL_NS * max_reports(count) / (size - 1))
+    figures = {"reports a datagram": float(max_reports(count)), "part heard at most": at_most}
+    broken = at_most < MIN_REPORTED_SHARE
     if size <= TENANTS_PLAYED[count]:
         it = tenants.spread(size, count, seed)
         figures |= {"part heard": it.heard, "s to a quarter": it.few_s, "B/s sent": it.bytes_s}
-        broken = it.heard < FEW
+        broken = it.heard < MIN_REPORTED_SHARE
     else:
         figures |= dict.fromkeys(("part heard", "s to a quarter", "B/s sent"), float("nan"))
     case = f"{count} tenants near their quota"
--- a/tests/scale_fleet/tenants.py
+++ b/tests/scale_fleet/tenants.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 from anisespool.fleet.shared_state import RATES
-from shuntlead.peer_codec import decode_reports, encode_reports, most_reports
-from shuntlead.quotas import FEW, FRESH_NS, TELL_NS, Quotas
+from shuntlead.peer_codec import decode_reports, encode_reports, max_reports
+from shuntlead.quotas import MIN_REPORTED_SHARE, REPORT_INTERVAL_NS, REPORT_LIFETIME_NS, Quotas
 from tests.scale_fleet.datagrams import HEADER_BYTES
 from tests.support import settings
 
@@ -25,27 +25,35 @@
     heard: float  # part of the others that a sidecar has fresh reports of, at the end; the mean
 
 
-def spread(size: int, tenants: int, seed: int, for_s: float = FRESH_NS / 1e9 + 0.5) -> Told:
-    """Tenants are near their quotas from the start: `Tenants.tell`, each TELL_NS to one other."""
+def spread(size: int, tenants: int, seed: int, for_s: float = REPORT_LIFETIME_NS / 1e9 + 0.5) -> Told:
+    """Tenants are near their quotas from the start: `Tenants.send_reports`, each TELL_NS to one other."""
     draw = random.Random(seed)
     rows = [{"share": 1.0, "quota-per-s": RATE * size}] * tenants
     fleet = [Quotas(settings(fleet_size=size, tenants=rows)._replace(self_index=n)) for n in range(size)]
     for each in fleet:
-        each.hear_beside(1 << 62, (RATE,) * tenants)
-    due = [(draw.randrange(TELL_NS), n) for n in range(size)]
+        each.set_other_rates(1 << 62, (RATE,) * tenants)
+    due = [(draw.randrange(REPORT_INTERVAL_NS), n) for n in range(size)]
     heapq.heapify(due)
-    most, enough, knows, size_sum, sent = most_reports(tenants), FEW * (size - 1), set[int](), 0, 0
+    most, enough, knows, size_sum, sent = (
+        max_reports(tenants),
+        MIN_REPORTED_SHARE * (size - 1),
+        set[int](),
+        0,
+        0,
+    )
     few_s = float("inf")
     while due[0][0] < for_s * 1e9:
         now, me = due[0]
-        heapq.heapreplace(due, (now + TELL_NS, me))
+        heapq.heapreplace(due, (now + REPORT_INTERVAL_NS, me))
         peer = (me + draw.randrange(1, size)) % size
         clock_ms = START_MS + now // 1_000_000
         data = encode_reports(fleet[me].reports(now, most), clock_ms)
         size_sum, sent = size_sum + len(RATES + data) + HEADER_BYTES, sent + 1
-        fleet[peer].hear(now, decode_reports(data, clock_ms) or ())
-        if len(fleet[peer]._heard) >= enough:
+        fleet[peer].add_reports(now, decode_reports(data, clock_ms) or ())
+        if len(fleet[peer]._reports) >= enough:
             knows.add(peer)
             few_s = min(few_s, now / 1e9) if len(knows) * 2 >= size else few_s
-    heard = [len(each.fresh(int(for_s * 1e9))) / (size - 1) for each in fleet[:500]]
-    return Told(size, tenants, most, size_sum / sent * 1e9 / TELL_NS, few_s, sum(heard) / len(heard))
+    heard = [len(each.fresh_reports(int(for_s * 1e9))) / (size - 1) for each in fleet[:500]]
+    return Told(
+        size, tenants, most, size_sum / sent * 1e9 / REPORT_INTERVAL_NS, few_s, sum(heard) / len(heard)
+    )
--- a/tests/scale_fleet/test_scale_fleet.py
+++ b/tests/scale_fleet/test_scale_fleet.py
@@ -28,7 +28,7 @@
     one = scenarios.CAPACITIES[0]
     plays = [scenarios.outage(200, seed, one, costs) for costs in (True, False)]
     for play_of in (scenarios.steady, scenarios.answers, scenarios.lost, scenarios.restarts, scenarios.region,
-                    gossip_scenarios.talk, gossip_scenarios.verdicts):  # fmt: skip
+                    gossip_scenarios.talk, gossip_scenarios.ejections):  # fmt: skip
         plays.append(play_of(200, seed))
     plays.append(gossip_scenarios.rates(20, seed, 8))
     return [row for rows in plays for row in rows]
--- a/tests/support.py
+++ b/tests/support.py
@@ -51,21 +51,23 @@
 
 
 def listed(endpoint: int, *, weight: float = 1.0, cell: int = 0, kind: int = 0, zone: int = 0,
-           state: int = api.EndpointState.READY, started_ns: int = 0) -> api.Listed:  # fmt: skip
-    return api.Listed(endpoint, weight, cell, kind, zone, state, started_ns)
+           state: int = api.EndpointState.READY, started_ns: int = 0) -> api.ListedEndpoint:  # fmt: skip
+    return api.ListedEndpoint(endpoint, weight, cell, kind, zone, state, started_ns)
 
 
 class Sidecar:
     """One module with a fleet, driven by hand."""
 
-    def __init__(self, rows: list[api.Listed], seed: int = 1, **changes: Any) -> None:
+    def __init__(self, rows: list[api.ListedEndpoint], seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 100 * SECOND
-        self.roster(rows, api.RosterForm.CACHED)
+        self.roster(rows, api.ListForm.CACHED)
         self._last = 0
 
-    def roster(self, rows: list[api.Listed], form: api.RosterForm = api.RosterForm.DELTA) -> list[api.Action]:
-        return self.balancer.handle(self.now, api.Roster(1, form, tuple(rows)))
+    def roster(
+        self, rows: list[api.ListedEndpoint], form: api.ListForm = api.ListForm.DELTA
+    ) -> list[api.Action]:
+        return self.balancer.handle(self.now, api.EndpointList(1, form, tuple(rows)))
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
         self._last += 1
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -120,7 +120,7 @@
     assert car.balancer.handle(car.now, api.ClientGone(send.request)) == []
     assert car.balancer.handle(car.now, api.Timer(4_000_000)) == []
     assert car.balancer.handle(car.now, api.ProbeResult(99, Status.OK, 5, (1.0,))) == []
-    assert car.balancer.handle(car.now, api.PeerMessage(3, 0.2, (api.Sighting(99, 1.0, 0.0, 0),))) == []
+    assert car.balancer.handle(car.now, api.PeerMessage(3, 0.2, (api.Observation(99, 1.0, 0.0, 0),))) == []
 
 
 def test_a_request_has_one_attempt_at_a_time_and_it_is_cancelled_when_the_client_goes() -> None:
--- a/tests/test_clock_offsets.py
+++ b/tests/test_clock_offsets.py
@@ -8,14 +8,14 @@
 import pytest
 
 from anisespool.fleet.clock_offsets import EARLY_MS, LATE_MS, SETTLE_S, Offsets
-from shuntlead.quotas import TELL_NS
+from shuntlead.quotas import REPORT_INTERVAL_NS
 from tests.fleet import fleet
 from tests.net import Endpoint, TellingDiscovery, member, member_list
 from tests.stepped_clock import Stepper
 from tests.test_fleet import BUSY, SETTINGS, asked, load
 from tests.test_wall_clock import STEPS_S
 
-EVERY_S = TELL_NS / 1e9
+EVERY_S = REPORT_INTERVAL_NS / 1e9
 
 
 @pytest.mark.xdist_group("many processes")
--- a/tests/test_clock_starts.py
+++ b/tests/test_clock_starts.py
@@ -14,7 +14,7 @@
 from anisespool.config import Address, Member, MemberList
 from anisespool.servers import LATEST_LIST_NS, Servers
 from anisespool.state.records import Order
-from shuntlead.interface import EndpointState, Listed, RosterForm
+from shuntlead.interface import EndpointState, ListedEndpoint, ListForm
 from tests.net import Endpoint, TellingDiscovery, member, member_list
 from tests.support import MS, SECOND, raw_settings
 from tests.test_cold_processes import Arrivals
@@ -104,20 +104,20 @@
 
 
 def _started(server: str, since_ms: int) -> Member:
-    return Member(server, NOWHERE, Listed(0, 1.0, 0, 0, 0, EndpointState.READY, 0), since_ms)
+    return Member(server, NOWHERE, ListedEndpoint(0, 1.0, 0, 0, 0, EndpointState.READY, 0), since_ms)
 
 
-def _dated(servers: Servers, server: str, since_ms: int, form: RosterForm = RosterForm.DELTA) -> int:
+def _dated(servers: Servers, server: str, since_ms: int, form: ListForm = ListForm.DELTA) -> int:
     """The monotonic time of a start that is listed."""
     rows, _, _ = servers.apply(MemberList(1, False, (_started(server, since_ms),)), form)
     return rows[0][1].started_ns
 
 
-@pytest.mark.parametrize("form", [RosterForm.CACHED, RosterForm.DELTA])
+@pytest.mark.parametrize("form", [ListForm.CACHED, ListForm.DELTA])
 @pytest.mark.parametrize("everywhere", [False, True])
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_start_just_now_is_one_of_now_and_stays_it_whatever_steps(
-    clock: Clock, step_s: float, everywhere: bool, form: RosterForm
+    clock: Clock, step_s: float, everywhere: bool, form: ListForm
 ) -> None:
     """With no watch yet, too: by what this machine's clock has been."""
     steady = SteadyClock()
@@ -129,7 +129,7 @@
     assert abs(started_ns - now_ns) < 2 * SECOND
     clock.here_ns, clock.there_ns = 0, round(step_s * SECOND)
     assert _dated(servers, "s-0", since_ms, form) == started_ns
-    servers.apply(MemberList(2, True, ()), RosterForm.FULL)
+    servers.apply(MemberList(2, True, ()), ListForm.FULL)
     assert _dated(servers, "s-0", since_ms, form) == started_ns  # off the list and on it again
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -19,7 +19,7 @@
 )
 
 
-def cold_work(rows: list[api.Listed], cold: set[int], rate_ns: int, length_ns: int = SECOND) -> float:
+def cold_work(rows: list[api.ListedEndpoint], cold: set[int], rate_ns: int, length_ns: int = SECOND) -> float:
     car = Sidecar(rows)
     car.serve(200, latency_ns=rate_ns)
     car.roster([listed(n, started_ns=car.now) for n in cold])
@@ -46,7 +46,7 @@
         car = Sidecar(rows, seed)
         car.serve(200, latency_ns=5 * MS)
         car.roster([listed(5, started_ns=car.now - 5 * SECOND)])  # half its time to warm up
-        car.balancer.endpoints[5].slow, car.balancer.endpoints[5].slow_at = 1.0, car.now
+        car.balancer.endpoints[5].slowdown, car.balancer.endpoints[5].slowdown_at = 1.0, car.now
         chosen += car.serve(300, latency_ns=5 * MS)
     # As fast as the others, a fifth is its due; by the slowest ramp, 0.7 of its capacity, it would have 0.14.
     assert share(chosen, 5) > 0.17
@@ -65,7 +65,7 @@
     car.roster([listed(2, started_ns=car.now)])
     chosen = []
     for _ in range(300):
-        car.balancer.endpoints[1].slow, car.balancer.endpoints[1].slow_at = 10.0, car.now
+        car.balancer.endpoints[1].slowdown, car.balancer.endpoints[1].slowdown_at = 10.0, car.now
         for send in sends(car.request()):
             chosen.append(send.endpoint)
             car.now += 5 * MS
@@ -76,13 +76,13 @@
 
 def turns(car: Sidecar, seconds: float) -> int:
     """How many requests endpoint 4 would be sent in that time, were it drawn whenever it may be."""
-    choice, e, used = car.balancer.choice, car.balancer.endpoints[4], 0
+    choice, e, used = car.balancer.selector, car.balancer.endpoints[4], 0
     for _ in range(int(seconds * 100)):
         car.now += 10 * MS
-        car.balancer.desk.now = car.now
+        car.balancer.ctx.now = car.now
         e.ramp = 0.25
-        if choice.turn(e):
-            e.turn, used = e.turn + 1, used + 1
+        if choice.turn_odds(e):
+            e.turns_used, used = e.turns_used + 1, used + 1
     return used
 
 
@@ -96,7 +96,7 @@
         for n in range(60 * unanswered):
             req = car.balancer.pending.setdefault(-n, one_pending(car))
             car.balancer._send(req, car.balancer.endpoints[1], 10e6)
-            car.balancer.endpoints[1].out.clear()
+            car.balancer.endpoints[1].in_flight.clear()
         used.append(turns(car, 1.0))
     assert used[0] > 5 and used[1] <= used[0]
 
@@ -141,7 +141,7 @@
     car.serve(30)
     car.request(cls=2)
     usual = car.balancer.estimates.class_ns[2]
-    car.balancer.desk.now += int(8 * usual)
+    car.balancer.ctx.now += int(8 * usual)
     assert car.balancer.estimates.slowdown(car.balancer.endpoints[1]) == pytest.approx(8, rel=0.01)
 
 
--- a/tests/test_drain_hearsay.py
+++ b/tests/test_drain_hearsay.py
@@ -16,7 +16,7 @@
 from anisespool.state.peer_lists import TOP
 from anisespool.state.records import Order
 from shuntlead import interface as api
-from shuntlead.interface import RosterForm, Status
+from shuntlead.interface import ListForm, Status
 from tests.net import Endpoint, member, member_list, until, write_config
 from tests.test_endpoints import GET
 
@@ -35,7 +35,7 @@
         config = load(write_config(folder, servers[0].address, self.rows, **changes))
         self.names = config.names
         self.sidecar = Sidecar(config, Endpoints((), 10**9, 10**10, 64), self.orders)
-        self.sidecar.listed(config.known, RosterForm.CACHED)
+        self.sidecar.listed(config.known, ListForm.CACHED)
 
     def peers_say(self, *up: str) -> None:
         """Two peers, of all servers, those that this sidecar has not listed too."""
@@ -91,7 +91,7 @@
         it.peers_say("s-0", "s-1", "s-2", "s-3", "s-unlisted")
         for name in ("s-0", "s-1", "s-unlisted"):
             for peer in (1, 2):
-                verdict = api.Verdict(shared_id(name), 1, Status.RESET)
+                verdict = api.Ejection(shared_id(name), 1, Status.RESET)
                 it.sidecar.outside.peer_verdicts(peer, [verdict])
         assert await it.reached() == {2, 3}
         it.orders["s-0"] = Order(False, NOW_MS)
--- a/tests/test_drain_paths.py
+++ b/tests/test_drain_paths.py
@@ -157,7 +157,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fate: str
 ) -> None:
     release = asyncio.Event()
-    monkeypatch.setattr(Retries, "patience", lambda self, req, usual: 0 if req.attempts else SECOND)
+    monkeypatch.setattr(Retries, "attempt_timeout_ns", lambda self, req, usual: 0 if req.attempts else SECOND)
     classes = [{"target-ns": 4 * SECOND, "deadline-ns": 4 * SECOND, "effect": "repeatable", "worth": 1.0}]
 
     async def fail(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -31,7 +31,7 @@
     for seed in range(4000):
         car = Sidecar([listed(n) for n in queues], seed=seed)
         for n, e in car.balancer.endpoints.items():
-            e.slow, e.slow_at = slow[n], car.now
+            e.slowdown, e.slowdown_at = slow[n], car.now
             e.queue, e.queue_at = queues[n], car.now
         counts[sends(car.request())[0].endpoint] += 1
     odds = {n: 1 / ((queues[n] + 1) * slow[n]) for n in queues}
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -14,7 +14,7 @@
 from anisespool.exchange import Answer, Call
 from anisespool.sidecar import Sidecar
 from shuntlead import interface as api
-from shuntlead.interface import RosterForm
+from shuntlead.interface import ListForm
 from tests.net import (
     SLACK_S,
     Endpoint,
@@ -62,7 +62,7 @@
     sidecar = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16))
     module = Module(decide)
     sidecar.decisions.module = module
-    sidecar.listed(config.known, RosterForm.CACHED)
+    sidecar.listed(config.known, ListForm.CACHED)
     yield Driven(sidecar, module)
 
 
@@ -148,5 +148,5 @@
         config = load(write_config(tmp_path, endpoint.address, []))
         it.sidecar.listed(config.names.member_list(raw))
         first, second = it.module.events[-2:]
-        assert isinstance(first, api.Roster) and isinstance(second, api.Outcome)
+        assert isinstance(first, api.EndpointList) and isinstance(second, api.Outcome)
         assert second.status is api.Status.CONNECT_FAILED and not endpoint.requests
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -59,8 +59,8 @@
     car = Sidecar([listed(1), listed(2)])
     car.serve(20)
     car.roster([listed(1, started_ns=car.now)])
-    assert not car.balancer.endpoints[1].slow_at
-    assert car.balancer.endpoints[2].slow_at
+    assert not car.balancer.endpoints[1].slowdown_at
+    assert car.balancer.endpoints[2].slowdown_at
 
 
 def test_an_endpoint_that_fails_one_class_loses_that_class_only() -> None:
@@ -86,7 +86,7 @@
     [lost] = sends(car.request(cls=2))
     stalled = car.balancer.endpoints[lost.endpoint]
     car.now += 500 * MS
-    car.balancer.desk.now = car.now
+    car.balancer.ctx.now = car.now
     assert car.balancer.estimates.slowdown(stalled) > 5  # nothing has come from it since
     while lost.endpoint not in car.serve(1, cls=2):
         pass
@@ -108,6 +108,6 @@
                 car.outcome(again, attempt=1, latency_ns=500 * MS)
             else:
                 car.outcome(send, latency_ns=500 * MS)
-        unheard = car.balancer.estimates.typical(car.balancer.endpoints[4])
+        unheard = car.balancer.estimates.typical_slowdown(car.balancer.endpoints[4])
         assert unheard == pytest.approx(1.0, abs=0.3)  # the failing one says nothing of its kind
     assert 5 < failed < 20  # of 400, where 100 would be its even share
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,10 +17,10 @@
 
 from anisespool.fleet.shared_state import RATES, clock_ms, verdicts_datagrams
 from anisespool.peers import QUIET_S, shared_id
-from shuntlead.interface import Status, TenantReport, Verdict
-from shuntlead.members import VERDICT_AGAIN_NS
+from shuntlead.interface import Ejection, Status, TenantReport
+from shuntlead.members import EJECTION_RESEND_NS
 from shuntlead.peer_codec import encode_reports
-from shuntlead.quotas import FRESH_NS, LEAST_PART
+from shuntlead.quotas import MIN_ADMITTED_SHARE, REPORT_LIFETIME_NS
 from tests.fleet import Fleet, fleet
 from tests.net import OK, Endpoint, TellingDiscovery, member, member_list, reset
 
@@ -146,7 +146,7 @@
         print(f"loss {loss}, delay to {delay_s} s: held at six others after "
               f"p50 {statistics.median(took):.2f}, most {took[-1]:.2f} s")  # fmt: skip
         assert statistics.median(took) < VERDICT_S + delay_s
-        assert took[-1] < VERDICT_S + delay_s + 2 * VERDICT_AGAIN_NS / 1e9
+        assert took[-1] < VERDICT_S + delay_s + 2 * EJECTION_RESEND_NS / 1e9
 
 
 async def one_view(it: Fleet, sidecars: range, reports: int, bound_s: float) -> float:
@@ -187,7 +187,7 @@
         it.processes[3].send_signal(signal.SIGSTOP)
         await asyncio.gather(*(load(it, n, 40, 2) for n in range(3)))
         it.relay.cut = lambda x, y: True
-        await asyncio.sleep(FRESH_NS / 1e9)
+        await asyncio.sleep(REPORT_LIFETIME_NS / 1e9)
         assert [(await asked(it, n))[1] for n in range(3)] == [0, 0, 0]
         it.processes[3].send_signal(signal.SIGCONT)
         for _ in range(10):
@@ -204,13 +204,13 @@
         answered, began = [], monotonic()
         for k in range(60):
             forged = tuple(TenantReport(n, 0, (6000.0,)) for n in range(3))
-            verdicts = [Verdict(shared_id(f"s-{n}"), 10**11, Status.RESET) for n in range(8)]
+            ejections = [Ejection(shared_id(f"s-{n}"), 10**11, Status.RESET) for n in range(8)]
             forgery = RATES + encode_reports(forged, clock_ms() + k % 2 * 10**6)  # or from the future
-            for data in (forgery, *verdicts_datagrams(verdicts), RATES, RATES + b"\xff" * 30, b"\x04\x00",
+            for data in (forgery, *verdicts_datagrams(ejections), RATES, RATES + b"\xff" * 30, b"\x04\x00",
                          bytes(257)):  # fmt: skip
                 it.relay.deliver(1, 0, data)
             answered.append(await it.request(0, f"r{k}"))
-        assert answered.count(200) >= 60 * LEAST_PART * 0.8 and set(answered) <= {200, 429}
+        assert answered.count(200) >= 60 * MIN_ADMITTED_SHARE * 0.8 and set(answered) <= {200, 429}
         assert (await it.ask(0, "FLEET")).endswith("0 ejected:")
         assert 1 <= it.log(0).count("peers: ") <= 1 + (monotonic() - began) / QUIET_S
 
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -5,7 +5,7 @@
 import pytest
 
 from shuntlead import interface as api
-from shuntlead.interface import RosterForm, Settings, Status
+from shuntlead.interface import ListForm, Settings, Status
 from tests.support import MS, SECOND, Sidecar, finals, listed, raw_settings, sends, timers
 from tests.test_rules import World
 
@@ -68,11 +68,11 @@
     car = Sidecar([listed(1), listed(2)])
     car.serve(40)
     for e, queue in zip(car.balancer.endpoints.values(), (0.0, 40.0), strict=True):
-        e.queue, e.queue_at, e.slow, e.slow_at = queue, car.now, 1.0, car.now
+        e.queue, e.queue_at, e.slowdown, e.slowdown_at = queue, car.now, 1.0, car.now
     car.balancer.estimates.mean_queue = 20.0
     idle, busy = car.balancer.endpoints.values()
     assert car.balancer.estimates.load(busy) > 39 > 1 > car.balancer.estimates.load(idle)
-    car.balancer.desk.now += 20 * SECOND
+    car.balancer.ctx.now += 20 * SECOND
     assert car.balancer.estimates.load(busy) / car.balancer.estimates.load(idle) < 1.2
 
 
@@ -81,7 +81,7 @@
     raw["request-classes"][0]["stream"] = True
     car = Sidecar([listed(1)])
     car.balancer = type(car.balancer)(Settings.from_dict(raw), 1)
-    car.roster([listed(1)], RosterForm.CACHED)
+    car.roster([listed(1)], ListForm.CACHED)
     assert sends(car.request())[0].timeout_ns == 0
 
 
@@ -107,7 +107,7 @@
 def test_peer_figures_of_any_kind(figure: float) -> None:
     """Operators carry messages as they like: what a peer tells may be anything."""
     car = Sidecar([listed(1), listed(2)], allowed__peers=True)
-    seen = (api.Sighting(1, figure, figure, -(10**18)), api.Sighting(7, figure, figure, 10**18))
+    seen = (api.Observation(1, figure, figure, -(10**18)), api.Observation(7, figure, figure, 10**18))
     for _ in range(50):
         car.balancer.handle(car.now, api.PeerMessage(1, figure, seen))
         for send in sends(car.request()):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -97,4 +97,4 @@
     assert not sends(actions)
     car.now += 50 * MS
     assert not sends(car.outcome(first))
-    assert not car.balancer.keys.turns
+    assert not car.balancer.keys.queues
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -19,7 +19,7 @@
 from anisespool.sidecar import Sidecar
 from anisespool.state.store import Store
 from anisespool.upgrade_locks import Pair
-from shuntlead.interface import Listed, RosterForm
+from shuntlead.interface import ListedEndpoint, ListForm
 from tests.net import (
     OK,
     Endpoint,
@@ -146,7 +146,7 @@
         endpoints = Endpoints((), 10**9, 10**10, 16)
         orders: dict[str, Order] = {}
         sidecar = Sidecar(config, endpoints, orders)
-        sidecar.listed(config.known, RosterForm.CACHED)
+        sidecar.listed(config.known, ListForm.CACHED)
         answers: list[Answer] = []
         for _ in range(8):  # all wait for the handshakes, as nothing else has run yet
             sidecar.take(Call(GET, 0, 0, 10**9, None, 0, False), answers.append)
@@ -170,7 +170,7 @@
 
 
 def _member(started_ns: int) -> Member:
-    return Member("s-0", ADDRESS, Listed(0, 1.0, 0, 0, 0, 1, started_ns))
+    return Member("s-0", ADDRESS, ListedEndpoint(0, 1.0, 0, 0, 0, 1, started_ns))
 
 
 async def test_discovery_cannot_undo_an_order_nor_can_an_absence_from_the_list(tmp_path: Path) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,7 +12,7 @@
 
 from shuntlead import interface as api
 from shuntlead import members
-from shuntlead.interface import EndpointState, RosterForm, Status
+from shuntlead.interface import EndpointState, ListForm, Status
 from shuntlead.members import Members
 from tests.support import SECOND, Sidecar, listed
 
@@ -36,17 +36,17 @@
         rows = [listed(draw.randrange(1, 61), weight=draw.choice((0.5, 1.0, 2.0)), state=draw.choice(STATES),
                        started_ns=draw.choice((0, 0, car.now)))
                 for _ in range(draw.choice((1, 1, 1, 5)))]  # fmt: skip
-        calm += not room._settle_at
+        calm += not room._next_return_at
         car.roster(rows)
         found = standing(room)
-        room.settle()
+        room.refresh_ready()
         assert found == standing(room), step
         if ejection and draw.random() < 0.1:
             room.eject(room.ready[0].id, Status.RESET, SECOND, "here")
     assert calm == 400 if not ejection else 40 < calm < 360
 
 
-def calls_of(car: Sidecar, rows: list[api.Listed]) -> int:
+def calls_of(car: Sidecar, rows: list[api.ListedEndpoint]) -> int:
     """Calls that the module makes to take in a change, its own and of built-ins."""
     count = 0
 
@@ -66,7 +66,7 @@
 
 def test_a_change_costs_the_same_on_a_long_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """At 9,100 listed each one-row change took 6 ms, in which all requests waited."""
-    monkeypatch.setattr(members, "WEIGHT", lambda e: e.weight)  # so that it counts as a call
+    monkeypatch.setattr(members, "GET_WEIGHT", lambda e: e.weight)  # so that it counts as a call
     costs = {}
     for size in (50, 2000):
         car = Sidecar([listed(n) for n in range(1, size + 1)])
@@ -79,7 +79,7 @@
 
 def test_a_whole_list_is_settled_as_a_whole() -> None:
     car = Sidecar([listed(n) for n in range(1, 41)])
-    car.roster([listed(n) for n in range(21, 61)], RosterForm.FULL)
+    car.roster([listed(n) for n in range(21, 61)], ListForm.FULL)
     assert sorted(e.id for e in car.balancer.members.ready) == list(range(21, 61))
-    orders = [e.order for e in car.balancer.members.ready]
+    orders = [e.rank for e in car.balancer.members.ready]
     assert orders == sorted(orders)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -127,7 +127,7 @@
         car.roster([listed(1000 + n), listed(1000 + n - 5, state=EndpointState.GONE)])
     assert len(car.balancer.endpoints) < 20
     assert len(car.balancer.pending) < 20
-    assert len(car.balancer.desk.timers) < 50
+    assert len(car.balancer.ctx.timers) < 50
 
 
 def test_hundreds_of_endpoints() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,7 +22,7 @@
 from tests.net import member, until, write_config
 from tests.support import MS, SECOND
 
-SEEN = tuple(api.Sighting(shared_id(f"s-{n}"), 2.0, 3.0, 100 * MS) for n in range(api.MAX_SIGHTINGS))
+SEEN = tuple(api.Observation(shared_id(f"s-{n}"), 2.0, 3.0, 100 * MS) for n in range(api.MAX_OBSERVATIONS))
 
 
 def free_addresses(count: int) -> list[Address]:
@@ -48,9 +48,9 @@
         first.tell(peer, 0.5, SEEN)
         await until(lambda: bool(heard))
         message = heard.pop()
-        assert (message.sender, len(message.sightings)) == (0, api.MAX_SIGHTINGS)
-        assert message.strain == pytest.approx(0.5, abs=0.01)
-        assert message.sightings[3].endpoint == shared_id("s-3")
+        assert (message.sender, len(message.observations)) == (0, api.MAX_OBSERVATIONS)
+        assert message.pressure == pytest.approx(0.5, abs=0.01)
+        assert message.observations[3].endpoint == shared_id("s-3")
     first.tell(7, 0.5, SEEN)  # there is none
     first.close()
     second.close()
@@ -70,7 +70,9 @@
         while not heard:  # what comes behind them is heard
             sender.sendto(b"\x01\x80", addresses[1])
             await asyncio.sleep(0.005)
-    assert all(not message.sightings and message.strain == pytest.approx(0.5, abs=0.01) for message in heard)
+    assert all(
+        not message.observations and message.pressure == pytest.approx(0.5, abs=0.01) for message in heard
+    )
     assert len(capsys.readouterr().err.splitlines()) == 1
     listener.close()
 
@@ -114,7 +116,7 @@
     sidecar.outside.heard(api.PeerMessage(1, 0.5, SEEN))
     message = module.events[-1]
     assert isinstance(message, api.PeerMessage)
-    assert [s.endpoint for s in message.sightings] == [2, 1]  # s-3, s-5; it was told of no others
+    assert [s.endpoint for s in message.observations] == [2, 1]  # s-3, s-5; it was told of no others
     sidecar.listed(MemberList(3, True, ()))
     sidecar.outside.heard(api.PeerMessage(1, 0.5, SEEN))
     assert module.events[-1] == api.PeerMessage(1, 0.5, ())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,7 +39,7 @@
         heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), what, data))
 
     def run(self) -> Checker:
-        self.tell(api.Roster(1, api.RosterForm.CACHED, tuple(self.rows())))
+        self.tell(api.EndpointList(1, api.ListForm.CACHED, tuple(self.rows())))
         self.at(self.now + TICK, "arrive")
         self.at(self.now + SECOND, "roster")
         self.at(self.now + 2 * TICK, "peer")
@@ -52,14 +52,14 @@
             getattr(self, "do_" + what)(data)
         self.checker.nothing_owed(self.now + 60 * SECOND)
         assert not self.balancer.pending, "state kept for finished requests"
-        assert not self.balancer.keys.turns, "state kept for idle keys"
+        assert not self.balancer.keys.queues, "state kept for idle keys"
         return self.checker
 
-    def rows(self) -> list[api.Listed]:
+    def rows(self) -> list[api.ListedEndpoint]:
         draw = self.draw
         started = (0, self.now, self.now - SECOND)
         return [
-            api.Listed(n * 7919, draw.choice((0.0, 1.0, 4.0)), n % 3, draw.randrange(2),
+            api.ListedEndpoint(n * 7919, draw.choice((0.0, 1.0, 4.0)), n % 3, draw.randrange(2),
                        n % 2, draw.choice((0, 1, 1, 1, 2)), draw.choice(started))
             for n in draw.sample(range(1, 9), draw.randrange(0, 8))
         ]  # fmt: skip
@@ -133,18 +133,18 @@
         self.tell(api.Outcome(request, send.endpoint, leg, latency, status, finished, load))
 
     def do_roster(self, _: Any) -> None:
-        form = self.draw.choice((api.RosterForm.DELTA, api.RosterForm.FULL, api.RosterForm.FAILED))
-        rows = () if form is api.RosterForm.FAILED else tuple(self.rows())
-        if form is not api.RosterForm.DELTA:
+        form = self.draw.choice((api.ListForm.DELTA, api.ListForm.FULL, api.ListForm.FAILED))
+        rows = () if form is api.ListForm.FAILED else tuple(self.rows())
+        if form is not api.ListForm.DELTA:
             rows = tuple(row for row in rows if row.state != EndpointState.GONE)
         if self.now < self.end:
             self.at(self.now + self.draw.choice((TICK, SECOND)), "roster")
-        self.tell(api.Roster(2, form, rows))
+        self.tell(api.EndpointList(2, form, rows))
 
     def do_peer(self, _: Any) -> None:
         draw = self.draw
         slow, queue = draw.choice((0.1, 1.0, 50.0)), draw.choice((0.0, 9.0))
-        seen = [api.Sighting(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
+        seen = [api.Observation(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
         if self.now < self.end and self.cfg.may_message:
             self.at(self.now + draw.choice((TICK, SECOND)), "peer")
             self.tell(api.PeerMessage(1, draw.random(), tuple(seen)))
@@ -155,11 +155,11 @@
         draw, numbers = self.draw, [n * 7919 for n in range(1, 9)]
         up = draw.sample(numbers, draw.randrange(9))
         left_ns = draw.choice((0, 300 * MS, 5 * SECOND))
-        verdicts = tuple(api.Verdict(n, left_ns, Status.RESET) for n in up if draw.random() < 0.3)
+        ejections = tuple(api.Ejection(n, left_ns, Status.RESET) for n in up if draw.random() < 0.3)
         for sender in (1, 2):
-            self.tell(api.PeerVerdicts(sender, verdicts))
+            self.tell(api.PeerEjections(sender, ejections))
         if draw.random() < 0.2:
-            self.tell(api.Recall((), verdicts, (api.Pinned(5, 1, draw.randrange(2), 0, SECOND),)))
+            self.tell(api.Restore((), ejections, (api.KeyPin(5, 1, draw.randrange(2), 0, SECOND),)))
 
     def do_timer(self, token: int) -> None:
         self.tell(api.Timer(token))
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -6,7 +6,7 @@
 
 from anisespool.config import Address, MemberList, Names
 from anisespool.servers import Servers
-from shuntlead.interface import EndpointState, RosterForm
+from shuntlead.interface import EndpointState, ListForm
 from tests.net import member, member_list
 
 NAMES = Names({}, {}, {}, {}, 0)
@@ -19,15 +19,15 @@
 
 def started() -> Servers:
     servers = Servers({}, 0)
-    servers.apply(listed(1, member("s-0", PLACE), member("s-1", PLACE), complete=True), RosterForm.FULL)
+    servers.apply(listed(1, member("s-0", PLACE), member("s-1", PLACE), complete=True), ListForm.FULL)
     return servers
 
 
 def test_a_whole_list_that_leaves_out_what_drains_takes_it_out_of_use() -> None:
     servers = started()
     first = servers.numbers["s-0"]
-    servers.apply(listed(2, member("s-0", PLACE, "draining")), RosterForm.DELTA)
-    _, gone, _ = servers.apply(listed(3, member("s-1", PLACE), complete=True), RosterForm.FULL)
+    servers.apply(listed(2, member("s-0", PLACE, "draining")), ListForm.DELTA)
+    _, gone, _ = servers.apply(listed(3, member("s-1", PLACE), complete=True), ListForm.FULL)
     assert gone == [first]
     assert set(servers.members) == {"s-1"} and servers.ready == {servers.numbers["s-1"]}
 
@@ -36,9 +36,7 @@
     servers = started()
     first = servers.numbers["s-0"]
     removed = {"id": "s-0", "phase": "removed"}
-    rows, gone, _ = servers.apply(
-        listed(2, removed, member("s-0", PLACE, up_since_ms=5_000)), RosterForm.DELTA
-    )
+    rows, gone, _ = servers.apply(listed(2, removed, member("s-0", PLACE, up_since_ms=5_000)), ListForm.DELTA)
     second = servers.numbers["s-0"]
     assert gone == [first] and second not in (first, servers.numbers["s-1"])
     assert [(row.endpoint, row.state) for _, row in rows] == [
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -186,15 +186,15 @@
     for util in (*[0.2] * 10, 1.0):
         [send] = sends(car.request(2))
         car.outcome(send, load=columns(util))
-    assert car.balancer.shedding.busy < 0.5
+    assert car.balancer.shedding.utilization < 0.5
     for _ in range(20):
         car.now += MS
         [send] = sends(car.request(2))
         car.outcome(send, Status.TIMEOUT, latency_ns=700 * MS, load=())
-    assert car.balancer.shedding.busy > 0.75  # from which on requests may be refused
+    assert car.balancer.shedding.utilization > 0.75  # from which on requests may be refused
     silent = Sidecar([listed(1)], **REPORTS)  # nothing is known of its load: it may be gone
     silent.outcome(sends(silent.request(2))[0], Status.TIMEOUT, latency_ns=700 * MS, load=())
-    assert silent.balancer.shedding.busy == 0.0
+    assert silent.balancer.shedding.utilization == 0.0
 
 
 @pytest.mark.parametrize(("util", "early"), [(0.4, True), (0.95, False)])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -44,7 +44,7 @@
     """A further attempt has no more time than the first."""
     car = Sidecar([listed(1), listed(2)], request_classes=classes_with(5.0))
     [send] = sends(car.request(0, left_ns=5 * SECOND))
-    car.balancer.handle(car.now, api.Ending(SECOND))
+    car.balancer.handle(car.now, api.ProcessEnding(SECOND))
     car.now += 400 * MS
     [again] = sends(car.outcome(send, Status.RESET, finished=False))
     assert again.timeout_ns in (0, 600 * MS) or again.timeout_ns < 600 * MS
@@ -54,7 +54,7 @@
 
 def test_what_comes_as_the_process_ends_goes_on_with_what_is_left_or_is_refused_at_once() -> None:
     car = Sidecar([listed(1), listed(2)], request_classes=classes_with(5.0, target_s=0.3))
-    car.balancer.handle(car.now, api.Ending(SECOND))
+    car.balancer.handle(car.now, api.ProcessEnding(SECOND))
     assert len(sends(car.request(2, left_ns=5 * SECOND))) == 1
     car.now += 750 * MS  # 0.25 s are left, and its class aims at 0.3 s
     assert [type(a) for a in car.request(2, left_ns=5 * SECOND)] == [api.Refuse]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -8,8 +8,8 @@
 
 from shuntlead import interface as api
 from shuntlead.balancer import Balancer
-from shuntlead.interface import EndpointState, RosterForm, Status
-from shuntlead.members import VERDICT_AGAIN_NS, VERDICT_REPEAT_NS
+from shuntlead.interface import EndpointState, ListForm, Status
+from shuntlead.members import EJECTION_REPEAT_NS, EJECTION_RESEND_NS
 from tests.support import (
     MS,
     SECOND,
@@ -25,14 +25,14 @@
     car = Sidecar([listed(1), listed(2), listed(3)])
     car.roster([listed(1, state=EndpointState.DRAINING), listed(2, state=EndpointState.GONE)])
     assert set(car.serve(50)) == {3}
-    car.roster([listed(4)], RosterForm.FULL)
+    car.roster([listed(4)], ListForm.FULL)
     assert set(car.serve(50)) == {4}
 
 
 def test_discovery_by_asking_subscribes_and_asks_again_after_a_failure() -> None:
     balancer = Balancer(settings(discovery="ask"), 1)
-    assert api.Watch(True) in balancer.handle(SECOND, api.Roster(1, RosterForm.CACHED, (listed(1),)))
-    [timer] = timers(balancer.handle(2 * SECOND, api.Roster(1, RosterForm.FAILED)))
+    assert api.Watch(True) in balancer.handle(SECOND, api.EndpointList(1, ListForm.CACHED, (listed(1),)))
+    [timer] = timers(balancer.handle(2 * SECOND, api.EndpointList(1, ListForm.FAILED)))
     assert timer.delay_ns + 2 * SECOND < 6 * SECOND  # the call may wait 2 s in discovery's queue
     again = balancer.handle(2 * SECOND + timer.delay_ns, api.Timer(timer.token))
     assert again == [api.Watch(True)]
@@ -42,7 +42,7 @@
 def test_pulled_reports_are_asked_for_only_where_probes_are_allowed() -> None:
     for allowed in (True, False):
         balancer = Balancer(settings(allowed__probes=allowed, report__how="pull"), 1)
-        started = timers(balancer.handle(SECOND, api.Roster(1, RosterForm.CACHED, (listed(1),))))
+        started = timers(balancer.handle(SECOND, api.EndpointList(1, ListForm.CACHED, (listed(1),))))
         assert len(started) == allowed
         for timer in started:
             actions = balancer.handle(SECOND + timer.delay_ns, api.Timer(timer.token))
@@ -81,11 +81,11 @@
 
 def test_at_most_three_in_ten_are_ejected_whatever_a_quorum_of_peers_says_and_they_come_back_cold() -> None:
     car = Sidecar([listed(n) for n in range(10)], fleet_size=5, ejection=True)
-    verdicts = tuple(api.Verdict(n, 10 * SECOND, Status.RESET) for n in range(10))
-    car.balancer.handle(car.now, api.PeerVerdicts(1, verdicts))
-    car.balancer.handle(car.now, api.PeerVerdicts(1, verdicts))  # one peer's word, however often
+    ejections = tuple(api.Ejection(n, 10 * SECOND, Status.RESET) for n in range(10))
+    car.balancer.handle(car.now, api.PeerEjections(1, ejections))
+    car.balancer.handle(car.now, api.PeerEjections(1, ejections))  # one peer's word, however often
     assert len(car.balancer.members.ready) == 10
-    car.balancer.handle(car.now, api.PeerVerdicts(2, verdicts))
+    car.balancer.handle(car.now, api.PeerEjections(2, ejections))
     out = {e.id for e in car.balancer.endpoints.values()} - {e.id for e in car.balancer.members.ready}
     assert len(out) == 3
     car.now += 11 * SECOND
@@ -97,17 +97,17 @@
 def test_a_verdict_recalled_after_a_restart_is_told_to_all_peers_like_one_just_found() -> None:
     """The answer to a peer that asks at its start may be lost, and nobody asks again."""
     car = Sidecar([listed(n) for n in range(5)], fleet_size=5, ejection=True, allowed__peers=True)
-    actions = car.balancer.handle(car.now, api.Recall((), (api.Verdict(1, 10 * SECOND, Status.RESET),), ()))
+    actions = car.balancer.handle(car.now, api.Restore((), (api.Ejection(1, 10 * SECOND, Status.RESET),), ()))
     told_at, end = [], car.now + 12 * SECOND
     while car.now < end:
-        told = [a for a in actions if isinstance(a, api.TellVerdicts)]
-        assert all(a.peer == -1 and a.verdicts[0].endpoint == 1 for a in told)
+        told = [a for a in actions if isinstance(a, api.SendEjections)]
+        assert all(a.peer == -1 and a.ejections[0].endpoint == 1 for a in told)
         told_at += [car.now] * len(told)
         if not (pending := timers(actions)):
             break
         car.now += pending[0].delay_ns
         actions = car.balancer.handle(car.now, api.Timer(pending[0].token))
-    assert [at - told_at[0] for at in told_at[:5]] == [n * VERDICT_REPEAT_NS for n in range(5)]
-    assert max(b - a for a, b in pairwise(told_at)) == VERDICT_AGAIN_NS
-    assert told_at[-1] + VERDICT_AGAIN_NS >= told_at[0] + 10 * SECOND  # as long as it stands, and no longer
+    assert [at - told_at[0] for at in told_at[:5]] == [n * EJECTION_REPEAT_NS for n in range(5)]
+    assert max(b - a for a, b in pairwise(told_at)) == EJECTION_RESEND_NS
+    assert told_at[-1] + EJECTION_RESEND_NS >= told_at[0] + 10 * SECOND  # as long as it stands, and no longer
     assert told_at[-1] < told_at[0] + 10 * SECOND
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -12,8 +12,8 @@
 )
 
 
-def tells(actions: list[api.Action]) -> list[api.Tell]:
-    return [a for a in actions if isinstance(a, api.Tell)]
+def tells(actions: list[api.Action]) -> list[api.SendToPeer]:
+    return [a for a in actions if isinstance(a, api.SendToPeer)]
 
 
 def test_peers_are_told_sparingly_and_only_where_messages_are_allowed() -> None:
@@ -25,7 +25,7 @@
         for send in sends(peer.request()):
             peer.now += 70 * MS
             told += tells(peer.outcome(send))
-    full = [t for t in told if t.sightings]
+    full = [t for t in told if t.observations]
     assert 3 <= len(full) <= 6
     assert len(told) == 4 * len(full)
     assert {t.peer for t in told} <= {0, 1, 3, 4}
@@ -34,11 +34,11 @@
 def test_a_peers_later_sighting_counts_and_an_older_one_does_not() -> None:
     car = Sidecar([listed(1), listed(2, started_ns=99 * SECOND)], allowed__peers=True)
     car.serve(20)
-    at = car.balancer.endpoints[1].slow_at
+    at = car.balancer.endpoints[1].slowdown_at
     car.now += SECOND
-    old = api.Sighting(1, 9.0, 9.0, car.now - at + MS)
-    before_start = api.Sighting(2, 9.0, 9.0, 5 * SECOND)
+    old = api.Observation(1, 9.0, 9.0, car.now - at + MS)
+    before_start = api.Observation(2, 9.0, 9.0, 5 * SECOND)
     car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (old, before_start)))
-    assert car.balancer.endpoints[1].slow < 5 > car.balancer.endpoints[2].slow
-    car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (api.Sighting(1, 9.0, 9.0, 0),)))
-    assert car.balancer.endpoints[1].slow == 9.0 == car.balancer.endpoints[1].queue
+    assert car.balancer.endpoints[1].slowdown < 5 > car.balancer.endpoints[2].slowdown
+    car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (api.Observation(1, 9.0, 9.0, 0),)))
+    assert car.balancer.endpoints[1].slowdown == 9.0 == car.balancer.endpoints[1].queue
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -20,8 +20,8 @@
 from anisespool.state import peer_lists
 from anisespool.state.learned_state import PIN, PIN_S, VERDICT
 from anisespool.state.store import now_ms, place
-from shuntlead.interface import Status, Verdict
-from shuntlead.outliers import LONGEST_NS
+from shuntlead.interface import Ejection, Status
+from shuntlead.outliers import MAX_EJECTION_NS
 from tests.fleet import Fleet, fleet
 from tests.net import OK, UNTIL_S, Endpoint, TellingDiscovery, member, member_list, reset, until
 from tests.support import SECOND, raw_settings
@@ -54,7 +54,7 @@
     """Of a sidecar that is down, to the longest there is. The first lasts 5 s, and the next starts
     of processes on a busy machine as long."""
     with closing(sqlite3.connect(place(home, f"n{n}"))) as store, store:
-        until_ms = now_ms() + LONGEST_NS // 1_000_000
+        until_ms = now_ms() + MAX_EJECTION_NS // 1_000_000
         store.execute("UPDATE records SET until_ms = ? WHERE kind = ?", (until_ms, VERDICT))
 
 
@@ -101,7 +101,7 @@
         rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
         ids = [shared_id(row["id"]) for row in rows]
         loop = asyncio.get_running_loop()
-        lies = verdicts_datagrams([Verdict(n, 10**10, Status.RESET) for n in ids])
+        lies = verdicts_datagrams([Ejection(n, 10**10, Status.RESET) for n in ids])
         asked = []
 
         async def answer(n: int, sock: socket.socket) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -23,7 +23,7 @@
     return struct.pack("<HIQI", 1000, instance, seed, len(params)) + params
 
 
-def sheet(number: int, rows: list[api.Listed]) -> bytes:
+def sheet(number: int, rows: list[api.ListedEndpoint]) -> bytes:
     entries = b"".join(struct.pack("<IfHHHBQ", *row) for row in rows)
     return struct.pack("<HII", 1100, number, len(rows)) + entries
 
@@ -56,8 +56,8 @@
         boot(4, {}, seed=9),
     ]
     assert wire.decode_batch(len(records), b"".join(records)) == [
-        (-1, wire.Sheet(2, (api.Listed(11, 1.5, 3, 1, 2, 1, 77),))),
-        (4, wire.RosterRef(3, 1, 2)),
+        (-1, wire.NumberedList(2, (api.ListedEndpoint(11, 1.5, 3, 1, 2, 1, 77),))),
+        (4, wire.ListRef(3, 1, 2)),
         (4, api.Request(1 << 51, 0, SECOND, 30 * MS, 99, 1, False, True)),
         (4, api.FirstByte(8, 11, 60, 1)),
         (4, api.Outcome(8, 11, 1, 60, api.Status.TIMEOUT, False, (0.5, 8.0))),
@@ -83,9 +83,9 @@
         (api.Fetch(), struct.pack("<HI", 1040, 4)),
         (api.Watch(False), struct.pack("<HIB", 1070, 4, 0)),
         (api.CloseIdle(11), struct.pack("<HII", 1060, 4, 11)),
-        (api.Tell(-1, 1.0), struct.pack("<HIIHB", 1100, 4, 0xFFFFFFFF, 1, 255)),
+        (api.SendToPeer(-1, 1.0), struct.pack("<HIIHB", 1100, 4, 0xFFFFFFFF, 1, 255)),
         (
-            api.Tell(7, 0.0, (api.Sighting(11, 1.0, 3.0, 100 * MS),)),
+            api.SendToPeer(7, 0.0, (api.Observation(11, 1.0, 3.0, 100 * MS),)),
             struct.pack("<HIIHBIBBB", 1100, 4, 7, 8, 0, 11, 64, 32, 2),
         ),
         (api.Probe(11), struct.pack("<HII", 1110, 4, 11)),
@@ -104,7 +104,7 @@
         (1, arrival(4, 8) + b"z", "left after"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 3, 0, 2), "truncated"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 99, 0, 0), "unknown status"),
-        (1, roster(4, 9, 0), "unknown roster form"),
+        (1, roster(4, 9, 0), "unknown form 9 of an endpoint list"),
         (2, arrival(4, 8), "truncated"),
     ],
 )
@@ -196,17 +196,17 @@
 
 
 def test_a_peer_message_comes_back_as_it_was_told_within_its_steps() -> None:
-    told = tuple(api.Sighting(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
-    record = wire.encode_action(4, api.Tell(7, 0.4, told))
+    told = tuple(api.Observation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
+    record = wire.encode_action(4, api.SendToPeer(7, 0.4, told))
     data = record[struct.calcsize("<HIIH") :]
     assert len(data) <= 256
     body = struct.pack("<HIHH", 1080, 4, 9, len(data)) + data
     [(instance, message)] = wire.decode_batch(1, body)
     assert isinstance(message, api.PeerMessage)
-    assert (instance, message.sender, len(message.sightings)) == (4, 9, api.MAX_SIGHTINGS)
-    assert message.strain == pytest.approx(0.4, abs=0.003)
-    for was, now in zip(told, message.sightings, strict=False):
+    assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVATIONS)
+    assert message.pressure == pytest.approx(0.4, abs=0.003)
+    for was, now in zip(told, message.observations, strict=False):
         assert now.endpoint == was.endpoint
-        assert now.slow == pytest.approx(was.slow, rel=0.03)
+        assert now.slowdown == pytest.approx(was.slowdown, rel=0.03)
         assert now.queue + 1 == pytest.approx(was.queue + 1, rel=0.03)
         assert now.age_ns == pytest.approx(was.age_ns, abs=25 * MS)
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -14,7 +14,7 @@
 from anisespool.config import Address, MemberList, Names
 from anisespool.servers import Servers
 from anisespool.state.records import Order
-from shuntlead.interface import RosterForm
+from shuntlead.interface import ListForm
 from tests.net import member, member_list
 
 NAMES = Names({}, {}, {}, {}, 0)
@@ -40,7 +40,7 @@
 
     def tell(self, revision: int, *rows: dict[str, Any], complete: bool = True) -> set[int]:
         update = listed(revision, *rows, complete=complete)
-        self.servers.apply(update, RosterForm.FULL if complete else RosterForm.DELTA)
+        self.servers.apply(update, ListForm.FULL if complete else ListForm.DELTA)
         return self.in_use()
 
     def peer(self, sender: int, revision: int, *down: int) -> set[int]:
@@ -212,7 +212,7 @@
     draw = random.Random(seed)
     history, servers = History(draw, length), Servers({}, 0, fleet_size=FLEET)
     revision = latest = draw.randrange(length)
-    servers.apply(listed(revision, *history.whole(revision)), RosterForm.CACHED)
+    servers.apply(listed(revision, *history.whole(revision)), ListForm.CACHED)
     for _ in range(steps):
         if draw.random() < 0.4:  # another stream
             revision, complete = draw.randrange(length), True
@@ -220,7 +220,7 @@
         else:
             after, revision = revision, draw.randrange(revision, length)
             rows, complete = history.change(after, revision), False
-        form = RosterForm.FULL if complete else RosterForm.DELTA
+        form = ListForm.FULL if complete else ListForm.DELTA
         servers.apply(listed(revision, *rows, complete=complete), form)
         latest = max(latest, revision)
         ids = {int(servers.ids[number].removeprefix("s-")) for number in servers.ready}
