--- a/anisespool/admin.py
+++ b/anisespool/admin.py
@@ -95,7 +95,7 @@
 
     def listen(self, listener: socket.socket) -> Address:
         self._listener = listener
-        Acceptor("admin", listener, ACCEPT_PAUSE_S, self._make_room, self._accepted, ACCEPTED_AT_ONCE).watch()
+        Acceptor("admin", listener, ACCEPT_PAUSE_S, self._make_room, self._accepted, ACCEPTED_AT_ONCE).start()
         return Address(*listener.getsockname())
 
     def close(self) -> None:
--- a/anisespool/endpoints/connection.py
+++ b/anisespool/endpoints/connection.py
@@ -83,7 +83,7 @@
         assert self._transport
         self._attempt, attempt.connection = attempt, self
         self._parser = http1.ResponseParser(
-            on_flow=self._long_answer, bodiless=attempt.request.method == b"HEAD"
+            on_flow=self._long_answer, is_head_response=attempt.request.method == b"HEAD"
         )
         self._requests, self._bytes = self._requests + 1, 0
         self._transport.write(data)
@@ -130,7 +130,7 @@
 
     def _hold_no_longer(self, parser: http1.ResponseParser) -> None:
         if parser is self._parser and self._attempt:
-            parser.pass_on()
+            parser.start_streaming()
 
     def is_stalled(self, before_ns: int) -> bool:
         """A long body has made no progress since then, and not because its other side holds it."""
@@ -223,7 +223,7 @@
         self._forget_attempt()
         attempt.connection = None
         if response:
-            attempt.load = self._pool.load = http1.parse_load(
+            attempt.load = self._pool.load = http1.parse_load_report(
                 response.headers.get(b"endpoint-load-metrics"), self._owner.columns
             )
         if reusable:
--- a/anisespool/front/__init__.py
+++ b/anisespool/front/__init__.py
@@ -1,1 +1,1 @@
-"""The application's side."""
+"""The sidecar's server for its clients: listening, HTTP connections, timeouts and shutdown."""
--- a/anisespool/front/arrival_times.py
+++ b/anisespool/front/arrival_times.py
@@ -1,30 +1,36 @@
-"""When the bytes of a client came, of which some waited unread. No socket here; nanoseconds of one clock."""
+"""Estimates when the bytes of one client connection arrived, as some of them wait unread in the kernel.
+
+This module does no I/O. All times are nanoseconds of one clock.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
-# A request that waited no longer counts as just come. With a few milliseconds less than its client's
-# other requests it would pass for a retry.
-LEAST_WAIT_NS = 50_000_000
+# Shorter waits count as no wait: a request that has a few milliseconds less left than its client's other
+# requests would be taken for a retry.
+MIN_WAIT_NS = 50_000_000
+
 
+class ArrivalTimes:
+    """Samples of how many bytes had arrived at which time, from which the age of a read is derived."""
 
-class Arrivals:
     def __init__(self) -> None:
-        self._read = 0  # bytes
-        self._seen: deque[tuple[int, int]] = deque()  # bytes that had come in all by then, and when that was
-
-    def saw(self, unread: int, now_ns: int) -> None:
-        """So many bytes wait now."""
-        come = self._read + unread
-        if unread and (not self._seen or come > self._seen[-1][0]):
-            self._seen.append((come, now_ns))
-
-    def read(self, nbytes: int, now_ns: int, last_came_ns: int) -> int:
-        """These are read now; `last_came_ns`: when the last of them can have come at the latest. When the
-        first of them had surely come."""
-        came_ns = self._seen[0][1] if self._seen else now_ns
-        self._read += nbytes
-        while self._seen and self._seen[0][0] <= self._read:
-            self._seen.popleft()
-        return min(came_ns, last_came_ns) if last_came_ns < now_ns - LEAST_WAIT_NS else came_ns
+        self._bytes_read = 0
+        # Samples of data not yet read in full: total bytes received by a point in time, and that time
+        self._samples: deque[tuple[int, int]] = deque()
+
+    def record_unread(self, unread: int, now_ns: int) -> None:
+        """Record that `unread` bytes now wait in the kernel."""
+        bytes_received = self._bytes_read + unread
+        if unread and (not self._samples or bytes_received > self._samples[-1][0]):
+            self._samples.append((bytes_received, now_ns))
+
+    def record_read(self, nbytes: int, now_ns: int, last_arrived_ns: int) -> int:
+        """Record that `nbytes` are read now, and return a time by which the first of them had certainly
+        arrived. `last_arrived_ns`: the latest time at which the last of them can have arrived."""
+        arrived_ns = self._samples[0][1] if self._samples else now_ns
+        self._bytes_read += nbytes
+        while self._samples and self._samples[0][0] <= self._bytes_read:
+            self._samples.popleft()
+        return min(arrived_ns, last_arrived_ns) if last_arrived_ns < now_ns - MIN_WAIT_NS else arrived_ns
--- a/anisespool/front/client_reader.py
+++ b/anisespool/front/client_reader.py
@@ -1,7 +1,8 @@
-"""When a client's connection is read, and whether its client is still there.
+"""The reading side of a client connection: pausing reads, arrival times and detection of a disconnect.
 
-While it is not read, as more was sent ahead than is worked on or a long body has nowhere to go, its end would
-not be seen; so it is looked for."""
+Reading is paused while too many pipelined requests are queued, or while the endpoint of a streamed body
+can't take more of it. The event loop reports no disconnect on a paused connection, so it is polled.
+"""
 
 from __future__ import annotations
 
@@ -10,108 +11,116 @@
 import time
 from typing import Protocol
 
-from anisespool.front.arrival_times import Arrivals
-from anisespool.front.stall_detector import Heartbeat
+from anisespool.front.arrival_times import ArrivalTimes
+from anisespool.front.stall_detector import StallDetector
 from anisespool.socket_state import has_events, since_data_ms, unread
 
-LOOK_S = 0.04  # no attempt may begin more than 0.1 s after its client has gone
+DISCONNECT_POLL_INTERVAL_S = 0.04  # no attempt may start more than 0.1 s after its client has disconnected
 
 
-class Unread(Protocol):
-    """A connection that is not read for now."""
+class PausedConnection(Protocol):
+    """A connection whose reading is paused, as `PausedConnections` sees it."""
 
     def is_gone(self) -> bool: ...
 
-    def look(self) -> None: ...
+    def record_unread(self) -> None: ...
 
-    def hang_up(self) -> None: ...
+    def abort(self) -> None: ...
 
 
-class Paused:
-    """It owns the timer of the looks, which runs while there is anything to look at."""
+class PausedConnections:
+    """Polls all paused connections for a disconnect. Its timer runs only while there are any."""
 
     def __init__(self) -> None:
-        self._connections: set[Unread] = set()
+        self._connections: set[PausedConnection] = set()
         self._timer: asyncio.TimerHandle | None = None
 
-    def add(self, connection: Unread) -> None:
+    def add(self, connection: PausedConnection) -> None:
         self._connections.add(connection)
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+            self._timer = asyncio.get_running_loop().call_later(DISCONNECT_POLL_INTERVAL_S, self._check)
 
-    def discard(self, connection: Unread) -> None:
+    def discard(self, connection: PausedConnection) -> None:
         self._connections.discard(connection)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._timer = None
         if self._connections:
-            self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+            self._timer = asyncio.get_running_loop().call_later(DISCONNECT_POLL_INTERVAL_S, self._check)
         for connection in self._connections:
-            connection.look()
+            connection.record_unread()
         for connection in [c for c in self._connections if c.is_gone()]:
             self._connections.discard(connection)
-            connection.hang_up()
+            connection.abort()
 
 
-class ClientReading(asyncio.BufferedProtocol):
-    """The reading side of a client's connection."""
+class ClientReader(asyncio.BufferedProtocol):
+    """The base class of client connections: reads, and knows whether the client is still connected."""
 
-    def __init__(self, paused: Paused, heartbeat: Heartbeat) -> None:
-        self._paused, self._heartbeat = paused, heartbeat
+    def __init__(self, paused_connections: PausedConnections, stall_detector: StallDetector) -> None:
+        self._paused_connections, self._stall_detector = paused_connections, stall_detector
         self._is_new = True  # nothing has been read yet
         self._transport: asyncio.Transport | None = None
-        self._hangup, self._unread = select.poll(), select.poll()
-        self._arrivals = Arrivals()
+        self._hangup_poll, self._unread_poll = select.poll(), select.poll()
+        self._arrival_times = ArrivalTimes()
 
-    def _leave(self) -> None:
-        """The client has gone: nothing more is begun for it, and what is under way ends."""
+    def _on_client_gone(self) -> None:
+        """The client has disconnected: start nothing more for it, and cancel what is in progress."""
         raise NotImplementedError
 
-    def _watch_hangup(self) -> None:
-        """Also seen behind bytes yet unread, where a read would come to the end only after them."""
+    def _register_polls(self) -> None:
+        """Register the socket for polling. POLLRDHUP reports the end of the input even while unread bytes
+        precede it, whereas a read would reach it only after them."""
         assert self._transport
         descriptor = self._transport.get_extra_info("socket").fileno()
-        self._hangup.register(descriptor, select.POLLRDHUP)
-        self._unread.register(descriptor, select.POLLIN)
+        self._hangup_poll.register(descriptor, select.POLLRDHUP)
+        self._unread_poll.register(descriptor, select.POLLIN)
 
     def has_unread(self) -> bool:
-        """Bytes or an end have come that the loop has yet to read. A close now would reset the
-        connection under a request, and take an answer with it that is still on its way."""
-        return self._transport is not None and not self._transport.is_closing() and has_events(self._unread)
-
-    def look(self) -> None:
-        """What has come and waits to be read."""
+        """Whether bytes or an end of input have arrived that the loop has not read yet. Closing now would
+        reset the connection, losing the unread request and any response still in transit."""
+        return (
+            self._transport is not None and not self._transport.is_closing() and has_events(self._unread_poll)
+        )
+
+    def record_unread(self) -> None:
+        """Record how many bytes have arrived and wait to be read."""
         if self._transport and not self._transport.is_closing():
-            waiting = unread(self._transport.get_extra_info("socket").fileno())
-            self._arrivals.saw(waiting, time.monotonic_ns())
+            unread_bytes = unread(self._transport.get_extra_info("socket").fileno())
+            self._arrival_times.record_unread(unread_bytes, time.monotonic_ns())
+
+    def _arrival_ns(self, now_ns: int, nbytes: int) -> int:
+        """When the bytes that are read now arrived.
 
-    def _came_ns(self, now: int, nbytes: int) -> int:
-        """Of what is read now. A client's time runs while its request waits unread, as too much was
-        sent ahead, or this process stood still, or did not accept; taken for new, its server would be told
-        more than is left. The kernel is asked only where that may be, as it costs a system call."""
+        A client's deadline runs while its request waits unread: behind pipelined requests, during a stall of
+        this process, or before the connection was accepted. If such a request counted as new, its endpoint
+        would be told more time than is left. The kernel is asked only where such a wait is possible, as that
+        costs a system call.
+        """
         assert self._transport
         waited_ms = 0
-        if self._is_new or self._heartbeat.has_stalled(now):
+        if self._is_new or self._stall_detector.is_stalled(now_ns):
             waited_ms = since_data_ms(self._transport.get_extra_info("socket"))
         self._is_new = False
-        return self._arrivals.read(nbytes, now, now - waited_ms * 1_000_000)
+        return self._arrival_times.record_read(nbytes, now_ns, now_ns - waited_ms * 1_000_000)
 
     def is_gone(self) -> bool:
-        """The client has closed its connection, or its side of it, whether or not we have read that far."""
-        return self._transport is None or self._transport.is_closing() or has_events(self._hangup)
+        """Whether the client has closed the connection or its sending side, even if bytes before the end
+        are still unread."""
+        return self._transport is None or self._transport.is_closing() or has_events(self._hangup_poll)
 
-    def hang_up(self) -> None:
-        """The client has gone, and nobody reads up to its end."""
-        self._leave()
+    def abort(self) -> None:
+        """Close at once: the client has disconnected, and its remaining input will not be read."""
+        self._on_client_gone()
         if self._transport:
             self._transport.abort()
 
     def _pause_reading(self) -> None:
         if self._transport:
             self._transport.pause_reading()
-            self._paused.add(self)
+            self._paused_connections.add(self)
 
     def _resume_reading(self) -> None:
-        self._paused.discard(self)
+        self._paused_connections.discard(self)
         if self._transport and not self._transport.is_closing():
             self._transport.resume_reading()
--- a/anisespool/front/http_connection.py
+++ b/anisespool/front/http_connection.py
@@ -1,4 +1,4 @@
-"""One connection of the application: requests read in order, one final answer each."""
+"""HTTP/1.1 on one client connection: requests are handled in order, with one final response each."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from anisespool import http1
 from anisespool.body_stream import Flow, read_buffer
 from anisespool.exchange import Answer
-from anisespool.front.client_reader import ClientReading
-from anisespool.front.request_decoding import Arrival, BadCall, after_wait, read_call
-from anisespool.front.response_writer import Outlet
-from anisespool.front.server_interface import Front
-from anisespool.front.timeouts import Waits
+from anisespool.front.client_reader import ClientReader
+from anisespool.front.request_decoding import InvalidRequest, ReceivedRequest, decode_request, deduct_wait
+from anisespool.front.response_writer import ResponseWriter
+from anisespool.front.server_interface import ServerInterface
+from anisespool.front.timeouts import ClientTimeouts
 from anisespool.sockets import end_output, set_option
 
-MOST_PIPELINED = 8  # requests read ahead on one connection
-LINGER_S = 1.0  # to let a client read why it was cut off
+MAX_PIPELINED_REQUESTS = 8  # queued behind the current one before reading is paused
+LINGER_TIMEOUT_S = 1.0  # for the client to read the last response before the connection is aborted
 
 
-class Conversation(ClientReading):
-    """It is read all the time, as its end is how a client goes away, but while a long body has nowhere to go
-    or too much was sent ahead."""
+class HttpConnection(ClientReader):
+    """Passes requests to the driver (`Sidecar`) and writes the responses. It reads at all times, to notice a
+    disconnect, except while too many requests are queued or the endpoint of a streamed body is too slow."""
 
-    def __init__(self, server: Front) -> None:
-        super().__init__(server.paused, server.heartbeat)
+    def __init__(self, server: ServerInterface) -> None:
+        super().__init__(server.paused_connections, server.stall_detector)
         self._server = server
-        self._parser = http1.RequestParser(self._hold, self._read_on)
-        self._queue: deque[Arrival] = deque()
-        self._busy = self._closing = self._served = False
-        self._turned_away = False  # there was no place for it
-        self._request: http1.Request | None = None  # the present one
-        self._current = 0  # its number, once the driver has it and has not answered
-        self._waits = Waits()
-        self._outlet = Outlet(self._ended, self._broken, lambda: server.long_answers.discard(self))
+        self._parser = http1.RequestParser(self._pause_upload, self._resume_upload)
+        self._queue: deque[ReceivedRequest] = deque()
+        self._busy = self._closing = self._has_served = False
+        self._refuses_requests = False  # the connection limit was exceeded
+        self._request: http1.Request | None = None  # the current one
+        self._request_id = 0  # the driver's id of the current request; 0: none, or answered
+        self._timeouts = ClientTimeouts()
+        self._writer = ResponseWriter(self._on_end, self._on_broken, lambda: server.streaming.discard(self))
 
     @property
-    def idle(self) -> bool:
-        """Between requests, and nothing on its way out."""
-        return not (self.owed or self._parser.partial)
+    def is_idle(self) -> bool:
+        """Between requests, with no response bytes left to send."""
+        return not (self.has_pending_work or self._parser.partial)
 
     @property
-    def owed(self) -> bool:
-        """Its end must wait: a request is being answered, or an answer is still on its way out."""
-        return self._closing or self._busy or bool(self._queue) or self._outlet.unsent > 0
+    def has_pending_work(self) -> bool:
+        """A request is in progress or queued, a response is unsent, or the connection is closing."""
+        return self._closing or self._busy or bool(self._queue) or self._writer.unsent_bytes > 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        self._transport = self._outlet.transport = transport
-        set_option(transport, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # the loop does so when it connects
-        self._watch_hangup()
+        self._transport = self._writer.transport = transport
+        set_option(transport, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # asyncio sets it on outgoing only
+        self._register_polls()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return read_buffer
@@ -60,125 +60,125 @@
     def buffer_updated(self, nbytes: int) -> None:
         if self._closing:
             return
-        now, began, in_body = time.monotonic_ns(), self._parser.partial, self._parser.in_body
-        self._waits.heard(now / 1e9)
-        came = self._came_ns(now, nbytes)
-        stalled, done = self._heartbeat.has_stalled(now), self._parser.feed(read_buffer[:nbytes])
-        self._queue.extend(Arrival(request, came, now, stalled) for request in done)
-        if self._parser.partial and not began:
-            self._waits.request_begins(now / 1e9, self._served)
-        if self._parser.in_body and not in_body:
-            self._waits.body_begins(now / 1e9)
-        self._waits.came(nbytes)
-        if len(self._queue) > MOST_PIPELINED:
+        now_ns, was_partial, was_in_body = time.monotonic_ns(), self._parser.partial, self._parser.in_body
+        self._timeouts.data_received(now_ns / 1e9)
+        arrived_ns = self._arrival_ns(now_ns, nbytes)
+        stalled, done = self._stall_detector.is_stalled(now_ns), self._parser.feed(read_buffer[:nbytes])
+        self._queue.extend(ReceivedRequest(request, arrived_ns, now_ns, stalled) for request in done)
+        if self._parser.partial and not was_partial:
+            self._timeouts.request_started(now_ns / 1e9, self._has_served)
+        if self._parser.in_body and not was_in_body:
+            self._timeouts.body_started(now_ns / 1e9)
+        self._timeouts.count_bytes(nbytes)
+        if len(self._queue) > MAX_PIPELINED_REQUESTS:
             self._pause_reading()
         if self._uploading and self._parser.error:
-            self._end_upload(HTTPStatus(self._parser.error))
-        self._next()
+            self._abort_upload(HTTPStatus(self._parser.error))
+        self._process_queue()
 
     def eof_received(self) -> None:
-        """With an answer yet unsent the transport tells its loss late, and more would be begun."""
-        if self._outlet.at_length:  # an end in order would pass for that of a body of no told length
-            self._outlet.reset()
-        self._leave()
+        """While bytes are unsent, the transport reports a disconnect late, and more work would be started."""
+        if self._writer.is_streaming:  # an orderly close could pass for the end of the body
+            self._writer.reset()
+        self._on_client_gone()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._leave()
-        self._paused.discard(self)
-        self._outlet.drop()
+        self._on_client_gone()
+        self._paused_connections.discard(self)
+        self._writer.release()
         self._parser.close()
 
-    def _leave(self) -> None:
-        """The client has gone: nothing more is begun for it, and what is under way ends."""
+    def _on_client_gone(self) -> None:
+        """The client has disconnected: start nothing more for it, and cancel what is in progress."""
         self._closing = True
         self._queue.clear()
-        current, self._current = self._current, 0
-        if self._busy and current:
-            self._server.sidecar.client_gone(current)
+        request_id, self._request_id = self._request_id, 0
+        if self._busy and request_id:
+            self._server.sidecar.client_gone(request_id)
 
     def pause_writing(self) -> None:
-        self._outlet.hold()
+        self._writer.pause()
 
     def resume_writing(self) -> None:
-        self._outlet.go()
-        self._next()
+        self._writer.resume()
+        self._process_queue()
 
-    # A request's long body ------------------------------------------------------------------------
+    # Streamed request bodies ----------------------------------------------------------------------
 
     @property
     def _uploading(self) -> bool:
-        """The present request's body is still coming."""
+        """The body of the current request is still being received."""
         flow = self._request.flow if self._busy and self._request else None
         return flow is not None and not flow.done
 
-    def _hold(self) -> None:
-        self._waits.hold()
+    def _pause_upload(self) -> None:
+        self._timeouts.pause_upload()
         self._pause_reading()
 
-    def _read_on(self) -> None:
-        self._waits.let_go()
-        if len(self._queue) <= MOST_PIPELINED:
+    def _resume_upload(self) -> None:
+        self._timeouts.resume_upload()
+        if len(self._queue) <= MAX_PIPELINED_REQUESTS:
             self._resume_reading()
 
-    def _end_upload(self, status: HTTPStatus) -> None:
-        """The body will not come as it should. What was sent on of it has never been a whole request."""
-        current, self._current = self._current, 0
-        if current:
-            self._server.sidecar.client_gone(current)
+    def _abort_upload(self, status: HTTPStatus) -> None:
+        """The rest of the body is invalid or late. The endpoint has only received an incomplete request."""
+        request_id, self._request_id = self._request_id, 0
+        if request_id:
+            self._server.sidecar.client_gone(request_id)
         self._busy = False
         self._reject(status)
 
-    # Answers --------------------------------------------------------------------------------------
+    # Responses ------------------------------------------------------------------------------------
 
-    def _next(self) -> None:
-        """Work on what has been read, in order. A loop: an answer may come at once."""
-        while not (self._busy or self._closing or self._outlet.unread):
+    def _process_queue(self) -> None:
+        """Handle the queued requests in order. It loops, as a request may be answered immediately."""
+        while not (self._busy or self._closing or self._writer.client_stalled):
             if not self._queue:
                 if self._parser.error:
                     self._reject(HTTPStatus(self._parser.error))
                 else:
-                    self._continue()
+                    self._send_continue()
                 return
-            arrival = self._queue.popleft()
-            request = arrival.request
+            received = self._queue.popleft()
+            request = received.request
             if request.flow and request.flow.broken:
-                continue  # the parser's error is next
-            if not self._waits.held and len(self._queue) <= MOST_PIPELINED:
+                continue  # the parser's error is reported once the queue is empty
+            if not self._timeouts.is_upload_paused and len(self._queue) <= MAX_PIPELINED_REQUESTS:
                 self._resume_reading()
-            self._busy, self._current, self._request = True, 0, request
-            self._work_on(arrival)
+            self._busy, self._request_id, self._request = True, 0, request
+            self._process(received)
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         if self._parser.wants_continue and self._transport:
             self._parser.wants_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _work_on(self, arrival: Arrival) -> None:
-        request = arrival.request
+    def _process(self, received: ReceivedRequest) -> None:
+        request = received.request
         if request.target.partition(b"?")[0] == b"/healthz":
             self._answer(Answer(200 if self._server.sidecar.ready else 503))
             return
-        if self._turned_away or self._server.crowded:
-            self._turned_away = True
+        if self._refuses_requests or self._server.over_connection_limit:
+            self._refuses_requests = True
             self._answer(Answer(503, b"too many connections\n", self._server.retry_after_s()))
             return
         try:
-            call = read_call(request, self._server.names, self._server.settings)
-            call = after_wait(call, arrival, time.monotonic_ns())
-        except BadCall as error:
+            call = decode_request(request, self._server.names, self._server.settings)
+            call = deduct_wait(call, received, time.monotonic_ns())
+        except InvalidRequest as error:
             self._answer(Answer(error.status, f"{error}\n".encode()))
             return
-        current = self._server.sidecar.take(call, self._answer_and_go_on, self.is_gone)
+        request_id = self._server.sidecar.take(call, self._answer_and_proceed, self.is_gone)
         if self._busy and self._request is request:
-            self._current = current
+            self._request_id = request_id
             if request.flow:
-                self._continue()
+                self._send_continue()
 
-    def _answer_and_go_on(self, answer: Answer) -> None:
+    def _answer_and_proceed(self, answer: Answer) -> None:
         self._answer(answer)
-        if self._current and not self._busy:  # else _next is still at work, further down the stack
-            self._current = 0
-            self._next()
+        if self._request_id and not self._busy:  # otherwise _process_queue is still on the call stack
+            self._request_id = 0
+            self._process_queue()
 
     def _answer(self, answer: Answer) -> None:
         if self._closing or not self._transport or not self._request:
@@ -186,49 +186,49 @@
             if answer.flow:
                 answer.flow.drop()
             return
-        close = not self._request.keep_alive or self._is_last()
+        close = not self._request.keep_alive or self._closes_after_answer()
         if answer.flow:
-            self._answer_at_length(self._request, answer.flow, close)
+            self._stream_answer(self._request, answer.flow, close)
             return
         is_head = self._request.method == b"HEAD"
         data = http1.encode_response(
             answer.status, b"" if is_head else answer.body, answer.retry_after_s, close or self._uploading,
             answer.length if is_head else None,
         )  # fmt: skip
-        self._done(data, close)
+        self._finish_request(data, close)
 
-    def _is_last(self) -> bool:
-        """The connection ends with this answer: not while more was sent ahead, which a close would lose."""
-        ends = self._server.stopping or self._turned_away
-        return ends and not (self._queue or self._parser.partial or self.has_unread())
+    def _closes_after_answer(self) -> bool:
+        """Whether this response is the last one. A close must not lose requests that were already sent."""
+        should_close = self._server.stopping or self._refuses_requests
+        return should_close and not (self._queue or self._parser.partial or self.has_unread())
 
-    def _answer_at_length(self, request: http1.Request, flow: Flow, close: bool) -> None:
+    def _stream_answer(self, request: http1.Request, flow: Flow, close: bool) -> None:
         chunked = request.version == "1.1"
         keep_alive = not close and (chunked or flow.length is not None)
         self._request = request._replace(keep_alive=keep_alive)
-        self._outlet.begin(flow, keep_alive, chunked, self._server.share(self))
+        self._writer.start(flow, keep_alive, chunked, self._server.response_buffer_bytes(self))
 
-    def _ended(self, rest: bytes) -> None:
-        """A long answer is over, but for the rest."""
+    def _on_end(self, final_bytes: bytes) -> None:
+        """A streamed response is complete once these final bytes are written."""
         assert self._request
-        self._done(rest, not self._request.keep_alive)
-        if self._current:
-            self._current = 0
-            self._next()
+        self._finish_request(final_bytes, not self._request.keep_alive)
+        if self._request_id:
+            self._request_id = 0
+            self._process_queue()
 
-    def _broken(self) -> None:
+    def _on_broken(self) -> None:
         if not self._closing:
             self._closing = True
-            self._outlet.reset()
+            self._writer.reset()
 
-    def _done(self, data: bytes, close: bool) -> None:
-        """With this the present request is answered."""
+    def _finish_request(self, data: bytes, close: bool) -> None:
+        """Write the last bytes of the response to the current request."""
         assert self._transport
         uploading = self._uploading
-        self._busy, self._served = False, True
-        self._waits.answered()
+        self._busy, self._has_served = False, True
+        self._timeouts.answer_sent()
         if uploading:
-            self._end_side(data)  # the rest of the body is of no more use, and can't be told from a request
+            self._close_gracefully(data)  # the rest of the body could not be told from a new request
             return
         self._transport.write(data)
         if close:
@@ -236,15 +236,15 @@
             self._transport.close()
 
     def _reject(self, status: HTTPStatus) -> None:
-        self._end_side(http1.encode_response(status, close=True))
+        self._close_gracefully(http1.encode_response(status, close=True))
 
-    def _end_side(self, data: bytes) -> None:
-        """Closing with input unread resets the connection, and the client never reads the answer.
-        So end our side, and wait for the client's end a little."""
-        self._closing, self._waits.since = True, time.monotonic()
+    def _close_gracefully(self, data: bytes) -> None:
+        """Write the response and shut down only the sending side, for the client to close the other. Closing
+        with input unread would reset the connection, and the client might never read the response."""
+        self._closing, self._timeouts.waiting_since = True, time.monotonic()
         if self._request and self._request.flow:
             self._request.flow.drop()
         if self._transport:
             self._transport.write(data)
             self._resume_reading()
-            end_output(self._transport, LINGER_S)
+            end_output(self._transport, LINGER_TIMEOUT_S)
--- a/anisespool/front/listener.py
+++ b/anisespool/front/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets, our own and inherited ones, and what to do where accept(2) fails."""
+"""Listening sockets, newly bound or inherited, and accepting from them with handling of accept(2) errors."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from anisespool.log import fault
 from anisespool.waiting import first_of
 
-QUIET_S = 0.5  # between two lines of the log on failed accepts
-LISTEN_WAIT_S, LISTEN_AGAIN_S = 10.0, 0.05  # for an address that is taken, and between two tries
+ACCEPT_LOG_INTERVAL_S = 0.5  # between two log lines about failed accepts
+LISTEN_TIMEOUT_S, LISTEN_RETRY_INTERVAL_S = 10.0, 0.05  # for an address that is still in use
 
-Opened = TypeVar("Opened")
+Result = TypeVar("Result")
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
@@ -40,89 +40,93 @@
     return listener
 
 
-def inherited_listener(descriptor: int) -> socket.socket:
-    """OSError where the descriptor is none, or no listening TCP socket."""
+def adopt_listener(descriptor: int) -> socket.socket:
+    """A socket object for an inherited listener. Raises OSError if the descriptor is not open, or is not a
+    listening TCP socket."""
     listener = socket.socket(fileno=descriptor)
     is_tcp = (listener.family, listener.type) == (socket.AF_INET, socket.SOCK_STREAM)
     if not is_tcp or not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.detach()
-        raise OSError(f"descriptor {descriptor} is no listening TCP socket")
+        raise OSError(f"descriptor {descriptor} is not a listening TCP socket")
     listener.setblocking(False)
     return listener
 
 
-async def opened(
-    name: str, listen: Callable[[], Opened], stop: asyncio.Event, wait_s: float = LISTEN_WAIT_S
-) -> Opened | None:
-    """What `listen` opens. While the address is in use, as a process before this one may still be ending, or
-    this machine is short of something, it is tried again, for `wait_s`. None: `stop` came first. ConfigError:
-    it cannot be had; `name` says by which setting it was asked for."""
-    until_s, complained = time.monotonic() + wait_s, False
+async def open_with_retry(
+    name: str, listen: Callable[[], Result], stop: asyncio.Event, wait_s: float = LISTEN_TIMEOUT_S
+) -> Result | None:
+    """Call `listen` until it succeeds, and return its result, or None if `stop` is set first.
+
+    It is retried for `wait_s` while the address is in use, since a previous process may still be shutting
+    down, or while the machine is out of descriptors or buffers. Raises ConfigError after that, and at once on
+    other errors. `name`: the setting that the address comes from, for messages.
+    """
+    until_s, logged = time.monotonic() + wait_s, False
     while True:
         try:
             return listen()
         except OSError as error:
             if not is_short_here(error) or time.monotonic() >= until_s:
                 raise ConfigError(f"{name}: {error}") from None
-            if not complained:
-                complained = True
+            if not logged:
+                logged = True
                 fault("anisespool", AddressTaken(f"{name}: {error}"))
-        if await first_of((stop,), LISTEN_AGAIN_S):
+        if await first_of((stop,), LISTEN_RETRY_INTERVAL_S):
             return None
 
 
 class Acceptor:
-    """Owns the reader of one listener: who comes is accepted, and whatever accept(2) fails with, the listener
-    is watched again, at once or after a pause."""
+    """Accepts from one listener in the event loop. Whatever error accept(2) fails with, accepting continues,
+    either at once or after a delay."""
 
     def __init__(
-        self, topic: str, listener: socket.socket, pause_s: float, make_room: Callable[[], object],
-        serve: Callable[[socket.socket], object], at_once: int,
+        self, topic: str, listener: socket.socket, retry_delay_s: float, make_room: Callable[[], object],
+        serve: Callable[[socket.socket], object], max_accepts: int,
     ) -> None:  # fmt: skip
-        """`topic`: of the log. `make_room` frees a descriptor. `serve` owns the connection it is given.
-        `at_once`: connections accepted in one turn of the loop at most."""
-        self._topic, self._listener, self._pause_s = topic, listener, pause_s
-        self._make_room, self._serve, self._at_once = make_room, serve, at_once
+        """`topic`: of log lines. `make_room` frees a descriptor. `serve` takes over an accepted connection.
+        `max_accepts`: limit of connections accepted in one turn of the event loop."""
+        self._topic, self._listener, self._retry_delay_s = topic, listener, retry_delay_s
+        self._make_room, self._serve, self._max_accepts = make_room, serve, max_accepts
         self._logged_at = -inf
-        self._resume: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
 
-    def watch(self) -> None:
-        """Accept whenever somebody comes, until the listener is closed."""
-        self._resume = None
+    def start(self) -> None:
+        """Accept connections as they arrive, until the listener is closed."""
+        self._retry_timer = None
         if self._listener.fileno() < 0:
             return
         try:
             asyncio.get_running_loop().add_reader(self._listener, self.accept)
         except OSError as error:  # epoll_ctl(2): ENOMEM, ENOSPC
-            self._pause(error)
+            self._retry_later(error)
 
     def accept(self) -> None:
-        """Accept those that wait, so many at most. A turn that only fails ends in a pause: an error that
-        takes nothing off the queue would make the loop spin."""
-        last: OSError | None = None
+        """Accept queued connections, `max_accepts` at most. If every call failed, accepting resumes after a
+        delay: an error that removes nothing from the queue would make the event loop spin."""
+        last_error: OSError | None = None
         accepted = False
-        for _ in range(self._at_once):
+        for _ in range(self._max_accepts):
             try:
                 connected, _ = self._listener.accept()
             except OSError as error:
-                last = error
+                last_error = error
                 if concerns_one_peer(error):
                     continue
                 if classify(error) is not SystemFailure.NOTHING_TO_DO:
-                    self._pause(error)
+                    self._retry_later(error)
                 return
             accepted = True
             self._serve(connected)
-        if last and not accepted:
-            self._pause(last)
+        if last_error and not accepted:
+            self._retry_later(last_error)
 
-    def _pause(self, error: OSError) -> None:
+    def _retry_later(self, error: OSError) -> None:
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._listener)
-        if self._resume:
-            self._resume.cancel()
-        self._resume = loop.call_later(self._pause_s, self.watch)
-        if time.monotonic() >= self._logged_at + QUIET_S:
+        if self._retry_timer:
+            self._retry_timer.cancel()
+        self._retry_timer = loop.call_later(self._retry_delay_s, self.start)
+        if time.monotonic() >= self._logged_at + ACCEPT_LOG_INTERVAL_S:
             self._logged_at = time.monotonic()
             fault(self._topic, described(error))
         if classify(error) is SystemFailure.NO_RESOURCES:
--- a/anisespool/front/response_writer.py
+++ b/anisespool/front/response_writer.py
@@ -1,4 +1,4 @@
-"""The way out of long answers to one client: as they come, held while the client reads none of it."""
+"""Writes streamed responses to one client, and pauses their source while the client reads too slowly."""
 
 from __future__ import annotations
 
@@ -11,75 +11,82 @@
 from anisespool.body_stream import Flow
 from anisespool.sockets import set_option
 
-HIGH = 64 * 1024  # bytes that may wait for a client before their source is held
-KERNEL_BUFFER = 128 * 1024  # for long bodies: more would only hide how slow the client is
+WRITE_HIGH_WATER_BYTES = 64 * 1024  # buffered for one client before its source is paused
+SEND_BUFFER_BYTES = 128 * 1024  # SO_SNDBUF; a larger one would only hide how slowly the client reads
 
 
-class Outlet:
+class ResponseWriter:
+    """The sink of a `Flow`: a response body that is passed on as it arrives from the endpoint."""
+
     def __init__(self, on_end: Callable[[bytes], None], on_broken: Callable[[], None],
-                 on_gone: Callable[[], None]) -> None:  # fmt: skip
-        """`on_end`: a long answer is over, but for these bytes. `on_broken`: its source broke off.
-        `on_gone`: it needs no place any more, whatever became of it."""
-        self._on_end, self._on_broken, self._on_gone = on_end, on_broken, on_gone
+                 on_release: Callable[[], None]) -> None:  # fmt: skip
+        """`on_end`: the streamed response is complete once these final bytes are written. `on_broken`: its
+        source failed. `on_release`: streaming is over, whether it succeeded or not."""
+        self._on_end, self._on_broken, self._on_release = on_end, on_broken, on_release
         self.transport: asyncio.Transport | None = None
-        self.unread = False  # the client reads no answers
-        self._download: Flow | None = None  # the rest of the present answer
+        self.client_stalled = False  # the write buffer is full, as the client reads too slowly
+        self._flow: Flow | None = None  # the rest of the current response
         self._chunked = False
 
     @property
-    def at_length(self) -> bool:
-        return self._download is not None
+    def is_streaming(self) -> bool:
+        return self._flow is not None
 
     @property
-    def unsent(self) -> int:
-        """Bytes of answers that have not left for the kernel: they would be lost with this process."""
+    def unsent_bytes(self) -> int:
+        """Response bytes not yet handed to the kernel, which would be lost if this process exited."""
         return self.transport.get_write_buffer_size() if self.transport else 0
 
-    def hold(self) -> None:
-        """A client that reads no answers and sends on would fill the memory with them."""
-        self.unread = True
-        if self._download:
-            self._download.hold()
-
-    def go(self) -> None:
-        self.unread = False
-        if self._download:
-            self._download.go()
-
-    def begin(self, flow: Flow, keep_alive: bool, chunked: bool, high: int) -> None:
+    def pause(self) -> None:
+        """Pause the source of the response. Otherwise a client that keeps sending requests without reading
+        the responses would exhaust memory."""
+        self.client_stalled = True
+        if self._flow:
+            self._flow.hold()
+
+    def resume(self) -> None:
+        self.client_stalled = False
+        if self._flow:
+            self._flow.go()
+
+    def start(self, flow: Flow, keep_alive: bool, chunked: bool, high_water_bytes: int) -> None:
+        """Write the response head, and pass the body on from `flow`. `high_water_bytes`: how much is buffered
+        for this client before the source is paused."""
         assert self.transport
         self.transport.write(http1.encode_head(200, flow.length, 0.0, not keep_alive, chunked))
-        self.transport.set_write_buffer_limits(high=high)
-        set_option(self.transport, socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER)
-        self._download, self._chunked = flow, chunked and flow.length is None
+        self.transport.set_write_buffer_limits(high=high_water_bytes)
+        set_option(self.transport, socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        self._flow, self._chunked = flow, chunked and flow.length is None
         flow.attach(self)
 
     def flow_data(self, data: bytes) -> None:
-        """Asyncio logs each write on a connection that it has found broken in the same turn, and one
-        read may bring thousands of chunks."""
-        if self.transport and self._download and not self.transport.is_closing():
+        """Nothing is written to a closing transport: asyncio logs every such write, and a single read from
+        the endpoint may yield thousands of chunks."""
+        if self.transport and self._flow and not self.transport.is_closing():
             self.transport.write(http1.encode_chunk(data) if self._chunked else data)
-            if self.unread:
-                self._download.hold()
+            if self.client_stalled:
+                self._flow.hold()
 
     def flow_end(self) -> None:
         assert self.transport
-        self.drop()
-        self.transport.set_write_buffer_limits(high=HIGH)
+        self.release()
+        self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self._on_end(http1.LAST_CHUNK if self._chunked else b"")
 
     def flow_broken(self) -> None:
-        self.drop()
+        self.release()
         self._on_broken()
 
-    def drop(self) -> None:
-        download, self._download = self._download, None
-        self._on_gone()
-        if download:
-            download.drop()
+    def release(self) -> None:
+        """Stop streaming, and discard what is left of the source."""
+        flow, self._flow = self._flow, None
+        self._on_release()
+        if flow:
+            flow.drop()
 
     def reset(self) -> None:
-        """An orderly end would pass for the end of a body that has no length."""
+        """Reset the connection (RST). The client would take an orderly close for the end of a body that has
+        no declared length."""
         if self.transport:
             set_option(self.transport, socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.transport.abort()
--- a/anisespool/front/server.py
+++ b/anisespool/front/server.py
@@ -1,4 +1,4 @@
-"""The listener, the limits that all clients share, and a planned end."""
+"""The server that clients connect to: accepting, limits across all connections, and the planned shutdown."""
 
 from __future__ import annotations
 
@@ -13,178 +13,200 @@
 from anisespool.config import Address, Names
 from anisespool.errors import NoRoomForClients
 from anisespool.front.client_connection import ClientConnection
-from anisespool.front.client_reader import Paused
-from anisespool.front.http_connection import Conversation
-from anisespool.front.listener import Acceptor, inherited_listener, open_listener
-from anisespool.front.response_writer import HIGH
+from anisespool.front.client_reader import PausedConnections
+from anisespool.front.http_connection import HttpConnection
+from anisespool.front.listener import Acceptor, adopt_listener, open_listener
+from anisespool.front.response_writer import WRITE_HIGH_WATER_BYTES
 from anisespool.front.shutdown import Shutdown, Stage
-from anisespool.front.stall_detector import Heartbeat
+from anisespool.front.stall_detector import StallDetector
 from anisespool.log import fault
 from anisespool.sidecar import Sidecar
 from shuntlead import Settings
 
-BACKLOG = 512
-SHUTDOWN_LOOK_S = 0.01  # between two looks at the connections in a shutdown
-ACCEPTED_AT_ONCE = 8
-ACCEPT_PAUSE_S = 0.05  # with no descriptor left, or where accept(2) fails in an unknown way
-SWEEP_S = 0.25
-ORDER_S = 0.05  # that an order of who makes room for newcomers holds
-LOW_SHARE = 4 * 1024  # the least of that, with many long bodies at once
+BACKLOG = 512  # connections
+SHUTDOWN_POLL_INTERVAL_S = 0.01  # between two passes over the connections during a shutdown
+MAX_ACCEPTS_PER_TURN = 8
+ACCEPT_RETRY_DELAY_S = 0.05  # when no descriptor is left, or accept(2) fails with an unknown error
+SWEEP_INTERVAL_S = 0.25
+EVICTION_ORDER_LIFETIME_S = 0.05  # how long a sorted eviction order is used before it is computed again
+MIN_RESPONSE_BUFFER_BYTES = 4 * 1024  # per client, however many responses are streamed at once
 
 
 class Server:
-    """The listener. It accepts by itself, so that nothing queued is reset when it closes."""
+    """Owns the listening socket and all client connections. It calls accept(2) itself instead of using an
+    asyncio server, so that it can empty the accept queue before closing: connections left in it are reset."""
 
     def __init__(
-        self, sidecar: Sidecar, names: Names, settings: Settings, most: int, buffers: int = 1 << 23
+        self,
+        sidecar: Sidecar,
+        names: Names,
+        settings: Settings,
+        max_connections: int,
+        buffer_bytes: int = 1 << 23,
     ) -> None:
-        """`most`: connections. `buffers`: bytes that may wait for all clients of long answers together."""
+        """`buffer_bytes`: what all streamed responses together may buffer for their clients."""
         self.sidecar, self.names, self.settings = sidecar, names, settings
-        self._buffers = buffers
-        self.long_answers: set[Conversation] = set()
+        self._buffer_bytes = buffer_bytes
+        self.streaming: set[HttpConnection] = set()
         self.connections: set[ClientConnection] = set()
-        self.paused, self.heartbeat = Paused(), Heartbeat()
+        self.paused_connections, self.stall_detector = PausedConnections(), StallDetector()
         self._shutdown: Shutdown | None = None
-        self._most = most
+        self._max_connections = max_connections
         self._listener: socket.socket | None = None
         self._acceptor: Acceptor | None = None
-        self._shares_listener = False  # with another process: what waits in its queue is not ours to take
-        self._accepting: set[asyncio.Task[None]] = set()
-        self._order: list[tuple[float, ClientConnection]] = []  # who makes room, the first last
-        self._ordered_at = -ORDER_S
+        self._shares_listener = False  # another process accepts from it too, and takes what is queued
+        self._accept_tasks: set[asyncio.Task[None]] = set()
+        self._eviction_order: list[tuple[float, ClientConnection]] = []  # by score; the last is evicted first
+        self._eviction_order_at = -EVICTION_ORDER_LIFETIME_S
 
     @property
     def stopping(self) -> bool:
-        """A planned shutdown is under way: a connection closes once nothing more was sent ahead on it."""
+        """A planned shutdown is in progress: each connection closes after its last pipelined request."""
         return self._shutdown is not None
 
     @property
-    def crowded(self) -> bool:
-        """Too near the limit on descriptors: the newest are sent away, for without any nothing works."""
-        return len(self.connections) > self._most
-
-    def limit(self, most: int) -> None:
-        """What is over it is taken from the other process of an upgrade."""
-        self._most = most
-        while self.crowded and self.make_room():
+    def over_connection_limit(self) -> bool:
+        """Whether new requests are refused, as the process is too close to its limit on descriptors. It could
+        do nothing without any."""
+        return len(self.connections) > self._max_connections
+
+    def set_connection_limit(self, max_connections: int) -> None:
+        """Change the limit, and evict what exceeds it: during an upgrade two processes share the descriptors,
+        and connections over the limit would use those of the other process."""
+        self._max_connections = max_connections
+        while self.over_connection_limit and self.make_room():
             pass
 
     def retry_after_s(self) -> float:
-        """When a place is likely to be free again. Told the same, all would come back as one."""
+        """When a connection slot is likely to be free. Randomised: otherwise all refused clients would retry
+        at the same time."""
         wait_ns = min(self.settings.max_retry_after_ns, min(c.target_ns for c in self.settings.classes))
         return wait_ns / 1e9 * random.uniform(0.25, 0.75)
 
     def admit(self, connection: ClientConnection) -> None:
-        """Those that bring no request must not hold the places of those that do."""
+        """Register a new connection. Over the limit, an idle connection is evicted for it, so that clients
+        without a request don't keep out those that have one."""
         self.connections.add(connection)
-        if self.crowded:
+        if self.over_connection_limit:
             self.make_room(connection)
 
-    def make_room(self, but: ClientConnection | None = None) -> bool:
-        """A descriptor is wanted; whether one will be free. To put all clients in order for each
-        newcomer of a crowd takes longer than they take to come; they wait unread, nobody knows how long."""
+    def make_room(self, excluded: ClientConnection | None = None) -> bool:
+        """Evict one connection to free its descriptor; returns whether one was evicted.
+
+        The eviction order is reused for a short time. In a burst of new connections, sorting all of them for
+        each new one would take longer than the interval between two arrivals, and the new connections would
+        wait unread for an unknown time.
+        """
         now = time.monotonic()
-        if now < self._ordered_at + ORDER_S and self._end_quietest(now, but):
+        if now < self._eviction_order_at + EVICTION_ORDER_LIFETIME_S and self._evict_idlest(now, excluded):
             return True
-        self._ordered_at = now
-        self._order = sorted(((c.quiet(now), c) for c in self.connections if c.may_go), key=itemgetter(0))
-        return self._end_quietest(now, but)
-
-    def _end_quietest(self, now: float, but: ClientConnection | None) -> bool:
-        """Of those in order: but not who has brought something since."""
-        while self._order:
-            quiet, connection = self._order.pop()
-            stays = connection is but or connection not in self.connections or not connection.may_go
-            if not stays and connection.quiet(now) >= quiet and connection.make_room():
+        self._eviction_order_at = now
+        self._eviction_order = sorted(
+            ((c.idle_score(now), c) for c in self.connections if c.is_evictable), key=itemgetter(0)
+        )
+        return self._evict_idlest(now, excluded)
+
+    def _evict_idlest(self, now: float, excluded: ClientConnection | None) -> bool:
+        """Evict the first connection in the eviction order that has not become active since it was sorted."""
+        while self._eviction_order:
+            idle_score, connection = self._eviction_order.pop()
+            is_kept = (
+                connection is excluded or connection not in self.connections or not connection.is_evictable
+            )
+            if not is_kept and connection.idle_score(now) >= idle_score and connection.evict():
                 return True
         return False
 
-    def share(self, connection: Conversation) -> int:
-        """Bytes that may wait for one more client of a long answer."""
-        self.long_answers.add(connection)
-        return max(LOW_SHARE, min(HIGH, self._buffers // len(self.long_answers)))
+    def response_buffer_bytes(self, connection: HttpConnection) -> int:
+        """Register the connection as streaming, and return how many bytes may be buffered for its client."""
+        self.streaming.add(connection)
+        return max(
+            MIN_RESPONSE_BUFFER_BYTES,
+            min(WRITE_HIGH_WATER_BYTES, self._buffer_bytes // len(self.streaming)),
+        )
 
     async def sweep(self) -> None:
-        """A peer may connect and send nothing or half a request, or read no answer, and stay."""
+        """Enforce the timeouts of all connections periodically. A client may stay connected without sending a
+        complete request, or without reading its response."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = time.monotonic()
             for connection in list(self.connections):
-                connection.end_if_late(now)
+                connection.enforce_timeouts(now)
 
-    def census(self) -> str:
-        """For the log: what the clients' connections are at."""
+    def connection_summary(self) -> str:
+        """For the log: the number of client connections in each stage."""
         states = Counter(connection.stage for connection in self.connections)
         return f"{len(self.connections)} clients ({', '.join(f'{n} {s}' for s, n in sorted(states.items()))})"
 
     def listen(self, address: Address) -> Address:
-        """Take the address for ourselves, and accept."""
+        """Bind the address, and start to accept."""
         self._listener = open_listener(address, BACKLOG)
-        self._watch_listener()
+        self._start_accepting()
         return Address(*self._listener.getsockname())
 
     def inherit(self, descriptor: int) -> Address:
-        """Accept from a socket that the platform holds, and that other processes accept from as well."""
-        self._listener = inherited_listener(descriptor)
+        """Accept from an inherited listening socket, from which other processes may accept too."""
+        self._listener = adopt_listener(descriptor)
         self._shares_listener = True
-        self._watch_listener()
+        self._start_accepting()
         return Address(*self._listener.getsockname())
 
     def _accept(self) -> None:
-        """A crowd at the door must not keep the loop from all the others, nor take all descriptors
-        before those that make room have gone."""
+        """Accept a limited number of connections. A burst must neither block the event loop for the existing
+        connections, nor use up all descriptors before evicted connections have closed."""
         if self._listener and self._acceptor:
             self._acceptor.accept()
 
-    def _accepted(self, connected: socket.socket) -> None:
+    def _start_serving(self, connected: socket.socket) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(connected))
-        self._accepting.add(task)
-        task.add_done_callback(self._accepting.discard)
+        self._accept_tasks.add(task)
+        task.add_done_callback(self._accept_tasks.discard)
 
-    def _watch_listener(self) -> None:
+    def _start_accepting(self) -> None:
         if self._listener:
-            self._acceptor = Acceptor("server", self._listener, ACCEPT_PAUSE_S, self.make_room,
-                                      self._accepted, ACCEPTED_AT_ONCE)  # fmt: skip
-            self._acceptor.watch()
+            self._acceptor = Acceptor("server", self._listener, ACCEPT_RETRY_DELAY_S, self.make_room,
+                                      self._start_serving, MAX_ACCEPTS_PER_TURN)  # fmt: skip
+            self._acceptor.start()
 
     async def _serve(self, connected: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
             connected.setblocking(False)
             await loop.connect_accepted_socket(lambda: ClientConnection(self), connected)
-        except OSError:  # it has been reset by now
+        except OSError:  # the client has reset it in the meantime
             connected.close()
 
     async def stop(self, shutdown: Shutdown) -> None:
-        """Run the shutdown: accept for a while, then end each connection when its stage allows. Every request
-        that is read meanwhile is answered, as the driver caps deadlines by the same schedule."""
+        """Run the shutdown: keep accepting for a while, and close each connection as its stage's time runs
+        out. Every request read meanwhile is answered, as the driver caps deadlines by the same schedule."""
         self._shutdown = shutdown
-        if self._shares_listener:  # what waits in its queue is for the other process
-            self._end_listener()
+        if self._shares_listener:  # the other process accepts what is in its queue
+            self._close_listener()
         while time.monotonic_ns() < shutdown.accept_until_ns:
-            self._end_stages(shutdown)
-            if self._shares_listener and not (self.connections or self._accepting):
+            self._end_overdue_stages(shutdown)
+            if self._shares_listener and not (self.connections or self._accept_tasks):
                 return
-            await asyncio.sleep(SHUTDOWN_LOOK_S)
-        await self._empty_listener_queue(shutdown)
-        self._end_listener()
-        while (self.connections or self._accepting) and time.monotonic_ns() < shutdown.ends_by_ns:
-            self._end_stages(shutdown)
-            await asyncio.sleep(SHUTDOWN_LOOK_S)
-
-    def _end_stages(self, shutdown: Shutdown) -> None:
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        await self._drain_accept_queue(shutdown)
+        self._close_listener()
+        while (self.connections or self._accept_tasks) and time.monotonic_ns() < shutdown.ends_by_ns:
+            self._end_overdue_stages(shutdown)
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+
+    def _end_overdue_stages(self, shutdown: Shutdown) -> None:
         now_ns = time.monotonic_ns()
         if now_ns >= shutdown.close_by_ns and self.sidecar.answer_all():
-            return  # A process that stood still gets here before the timers of these answers
+            return  # after a stall of the process, this runs before the timers that answer requests
         for connection in list(self.connections):
             stage = connection.stage
-            if now_ns >= shutdown.stays_until_ns(stage):
+            if now_ns >= shutdown.stage_deadline_ns(stage):
                 if stage in (Stage.BUSY, Stage.ANSWERING_AT_LENGTH):
-                    fault("server", NoRoomForClients(f"ended with a connection {stage}"))
+                    fault("server", NoRoomForClients(f"closed a connection at shutdown in stage {stage}"))
                 connection.end_stage(stage)
 
-    async def _empty_listener_queue(self, shutdown: Shutdown) -> None:
-        """Closing the listener resets the connections that still wait in its queue."""
+    async def _drain_accept_queue(self, shutdown: Shutdown) -> None:
+        """Accept what is still queued: closing the listener resets the connections in its queue."""
         while (
             self._listener
             and select.select([self._listener], [], [], 0)[0]
@@ -193,7 +215,7 @@
             self._accept()
             await asyncio.sleep(0.001)
 
-    def _end_listener(self) -> None:
+    def _close_listener(self) -> None:
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
--- a/anisespool/front/server_interface.py
+++ b/anisespool/front/server_interface.py
@@ -1,43 +1,43 @@
-"""Whose connections a client's are: the listener's side, as they see it."""
+"""What client connections use of the server that owns them, as protocols that avoid an import cycle."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Protocol
 
 from anisespool.config import Names
-from anisespool.front.client_reader import Paused
-from anisespool.front.stall_detector import Heartbeat
+from anisespool.front.client_reader import PausedConnections
+from anisespool.front.stall_detector import StallDetector
 from anisespool.sidecar import Sidecar
 from shuntlead import Settings
 
 if TYPE_CHECKING:
     from anisespool.front.client_connection import ClientConnection
-    from anisespool.front.http_connection import Conversation
+    from anisespool.front.http_connection import HttpConnection
 
 
-class Front(Protocol):
-    """Whose connection it is: the shared limits, and the driver."""
+class ServerInterface(Protocol):
+    """The state and the limits that all client connections share."""
 
     sidecar: Sidecar
     names: Names
     settings: Settings
-    long_answers: set[Conversation]
-    paused: Paused
-    heartbeat: Heartbeat
+    streaming: set[HttpConnection]
+    paused_connections: PausedConnections
+    stall_detector: StallDetector
 
     @property
     def stopping(self) -> bool: ...
 
     @property
-    def crowded(self) -> bool: ...
+    def over_connection_limit(self) -> bool: ...
 
-    def share(self, connection: Conversation) -> int: ...
+    def response_buffer_bytes(self, connection: HttpConnection) -> int: ...
 
     def retry_after_s(self) -> float: ...
 
 
-class Place(Front, Protocol):
-    """Where connections have their places, so many at most."""
+class ConnectionRegistry(ServerInterface, Protocol):
+    """The server's set of open connections, which is limited in size."""
 
     connections: set[ClientConnection]
 
--- a/anisespool/front/shutdown.py
+++ b/anisespool/front/shutdown.py
@@ -1,10 +1,10 @@
-"""The schedule of a planned shutdown: how long clients' connections stay, when the last answer is due.
+"""The schedule of a planned shutdown: how long client connections stay, and when the last response is due.
 
-The platform sends SIGTERM and, no sooner than KILL_AFTER_NS past the longest deadline, SIGKILL. A request
-that came late and is unanswered by then is lost. One schedule, fixed at SIGTERM, bounds everything: the
-driver caps all deadlines by `answer_by_ns`, the listener ends connections by `stays_until_ns`.
+The platform sends SIGTERM and, no sooner than KILL_GRACE_NS after the longest deadline, SIGKILL. A request
+that arrived late and is unanswered by then is lost. The schedule is fixed at SIGTERM and bounds everything:
+the driver caps all deadlines by `answer_by_ns`, and the server closes connections at `stage_deadline_ns`.
 
-All times are nanoseconds of the monotonic clock. No socket here.
+All times are nanoseconds of the monotonic clock. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -12,57 +12,57 @@
 from enum import StrEnum
 
 SECOND_NS = 1_000_000_000
-LONGEST_COUNTED_NS = 3 * SECOND_NS  # a longer deadline delays SIGKILL no further
-KILL_AFTER_NS = 700_000_000  # past the longest deadline
-# Before SIGKILL: the signal and the last timer may each be handled 0.15 s late, and answers take time.
+MAX_COUNTED_DEADLINE_NS = 3 * SECOND_NS  # longer deadlines do not delay SIGKILL any further
+KILL_GRACE_NS = 700_000_000  # from the longest deadline to SIGKILL
+# Before SIGKILL: the signal and the last timer may each be handled 0.15 s late, and sending takes time.
 ANSWER_RESERVE_NS = 350_000_000
-ACCEPT_NS = 500_000_000  # new connections go on coming for up to 0.4 s after SIGTERM
-QUEUE_NS = 100_000_000  # to take what still waits in the listener's queue after that
-FIRST_REQUEST_NS = 100_000_000  # for the first request of a connection that was accepted last
-HALF_WRITTEN_NS = 1_500_000_000  # after SIGTERM, for the rest of a request that has begun
-CLOSE_NS = 100_000_000  # after the last answer, for connections to flush and close
-STREAM_RESERVE_NS = 1_000_000_000  # past the longest deadline, for long answers to end if no SIGKILL comes
+ACCEPT_PERIOD_NS = 500_000_000  # new connections keep arriving for up to 0.4 s after SIGTERM
+ACCEPT_QUEUE_DRAIN_NS = 100_000_000  # after that, to accept what is left in the accept queue
+FIRST_REQUEST_TIMEOUT_NS = 100_000_000  # on the connections that were accepted last
+PARTIAL_REQUEST_TIMEOUT_NS = 1_500_000_000  # after SIGTERM, to receive the rest of a request
+CLOSE_PERIOD_NS = 100_000_000  # after the last response, to flush and close connections
+STREAM_GRACE_NS = 1_000_000_000  # after the longest deadline, for streamed responses, if no SIGKILL arrives
 
 
 class Stage(StrEnum):
-    """What a client's connection is at."""
+    """The state of a client connection, as the shutdown schedule and the log distinguish it."""
 
-    SILENT = "silent"  # no request has begun on it yet
+    SILENT = "silent"  # no request has been started on it yet
     BETWEEN_REQUESTS = "between requests"
     HALF_WRITTEN = "half-written"
-    UPLOADING = "uploading"  # a body too long to hold passes through as it comes
-    BUSY = "busy"
-    ANSWERING_AT_LENGTH = "answering at length"
+    UPLOADING = "uploading"  # streams a request body that is too long to buffer
+    BUSY = "busy"  # a request is in progress, or its response is being sent
+    ANSWERING_AT_LENGTH = "answering at length"  # streams a response body
     CLOSING = "closing"
 
 
 class Shutdown:
-    """The schedule of one shutdown, from SIGTERM on."""
+    """The schedule of one shutdown, starting at SIGTERM."""
 
-    def __init__(self, began_ns: int, longest_deadline_ns: int, is_listener_shared: bool) -> None:
-        """`is_listener_shared`: another process accepts the clients that come from now on."""
-        counted_ns = min(longest_deadline_ns, LONGEST_COUNTED_NS)
-        self.kill_ns = began_ns + counted_ns + KILL_AFTER_NS
+    def __init__(self, started_ns: int, longest_deadline_ns: int, is_listener_shared: bool) -> None:
+        """`is_listener_shared`: another process accepts the clients that connect from now on."""
+        counted_deadline_ns = min(longest_deadline_ns, MAX_COUNTED_DEADLINE_NS)
+        self.kill_ns = started_ns + counted_deadline_ns + KILL_GRACE_NS
         self.answer_by_ns = self.kill_ns - ANSWER_RESERVE_NS
-        self.accept_until_ns = min(began_ns + ACCEPT_NS, self.answer_by_ns)
-        self.queue_until_ns = self.accept_until_ns + QUEUE_NS
-        self.close_by_ns = self.answer_by_ns + CLOSE_NS
-        streams_until_ns = max(self.close_by_ns, began_ns + longest_deadline_ns + STREAM_RESERVE_NS)
-        # Clients of our own listener still reach it on a new connection; those of a shared one bring their
-        # next request on the old connection, and leave with its answer.
-        idle_until_ns = self.accept_until_ns if is_listener_shared else began_ns
-        self._stays_until_ns = {
-            Stage.SILENT: self.accept_until_ns + FIRST_REQUEST_NS,
+        self.accept_until_ns = min(started_ns + ACCEPT_PERIOD_NS, self.answer_by_ns)
+        self.queue_until_ns = self.accept_until_ns + ACCEPT_QUEUE_DRAIN_NS
+        self.close_by_ns = self.answer_by_ns + CLOSE_PERIOD_NS
+        streams_until_ns = max(self.close_by_ns, started_ns + longest_deadline_ns + STREAM_GRACE_NS)
+        # Clients of an unshared listener can still reach this process on a new connection, so idle ones are
+        # closed at once. With a shared listener, idle connections stay for one more request.
+        idle_until_ns = self.accept_until_ns if is_listener_shared else started_ns
+        self._stage_deadlines_ns = {
+            Stage.SILENT: self.accept_until_ns + FIRST_REQUEST_TIMEOUT_NS,
             Stage.BETWEEN_REQUESTS: idle_until_ns,
-            Stage.HALF_WRITTEN: min(began_ns + HALF_WRITTEN_NS, self.answer_by_ns),
+            Stage.HALF_WRITTEN: min(started_ns + PARTIAL_REQUEST_TIMEOUT_NS, self.answer_by_ns),
             Stage.UPLOADING: self.answer_by_ns,
             Stage.BUSY: self.close_by_ns,
             Stage.ANSWERING_AT_LENGTH: streams_until_ns,
             Stage.CLOSING: self.close_by_ns,
         }
 
-        self.ends_by_ns = streams_until_ns + CLOSE_NS  # whatever is open then
+        self.ends_by_ns = streams_until_ns + CLOSE_PERIOD_NS  # whatever is still open then is dropped
 
-    def stays_until_ns(self, stage: Stage) -> int:
-        """When a connection that is still at this stage is to be ended."""
-        return self._stays_until_ns[stage]
+    def stage_deadline_ns(self, stage: Stage) -> int:
+        """When a connection that is still in this stage is to be closed."""
+        return self._stage_deadlines_ns[stage]
--- a/anisespool/front/stall_detector.py
+++ b/anisespool/front/stall_detector.py
@@ -1,23 +1,28 @@
-"""Whether the loop has stood still of late, so that what is read now may have waited unread for long."""
+"""Detects that the event loop has recently stalled, so that data read now may have waited unread for long."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-BEAT_S = 0.08
-STALL_NS = 100_000_000  # since the last beat; a shorter stall is within what servers may be told too much
+TICK_INTERVAL_S = 0.08
+# Since the last tick. A shorter stall stays within the permitted error of the time left that endpoints
+# are told.
+STALL_THRESHOLD_NS = 100_000_000
 
 
-class Heartbeat:
+class StallDetector:
+    """A periodic timer of the event loop, whose delay shows a stall."""
+
     def __init__(self) -> None:
-        self._beat_ns = 0  # of the last beat, monotonic; 0: none yet, so a stall can't be excluded
+        self._last_tick_ns = 0  # monotonic; 0: no tick yet, so a stall can't be ruled out
 
-    def has_stalled(self, now_ns: int) -> bool:
-        """The loop reads what came in a stall before its timers run: so this holds for all of that."""
-        return now_ns - self._beat_ns > STALL_NS
+    def is_stalled(self, now_ns: int) -> bool:
+        """Whether the loop stalled since the last tick. After a stall the loop reads sockets before it runs
+        timers, so this is true for all data that arrived during the stall."""
+        return now_ns - self._last_tick_ns > STALL_THRESHOLD_NS
 
-    def beat(self) -> None:
-        """Now, and again for as long as the loop runs."""
-        self._beat_ns = time.monotonic_ns()
-        asyncio.get_running_loop().call_later(BEAT_S, self.beat)
+    def start(self) -> None:
+        """Tick now, and periodically for as long as the loop runs."""
+        self._last_tick_ns = time.monotonic_ns()
+        asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self.start)
--- a/anisespool/front/timeouts.py
+++ b/anisespool/front/timeouts.py
@@ -1,83 +1,97 @@
-"""How long a client's connection has kept us waiting, and for what. No socket here.
+"""Timeouts of one client connection: for sending a request, for uploading a body, for reading a response.
 
-Times in seconds of the monotonic clock. A peer that sends no whole request is owed an end within 3 s."""
+This module does no I/O. Times are in seconds of the monotonic clock. A client that sends no complete request
+must be disconnected within 3 s.
+"""
 
 from __future__ import annotations
 
 import time
 
-WAIT_S = 2.25  # for a request, or the rest of one: a peer that sends none is owed an end within 3 s
-LATE_START_S = 0.5  # of that, which a client may let pass before its first byte without loss
-BODY_GRACE_S, BODY_RATE = 0.75, 60_000  # a body's bytes a second, a little under what clients are allowed
-STALL_S = 10.0  # for a client to read any of what waits for it
-SILENT_QUIET = 8.0  # a second before the first request, in seconds between two requests
-READING_S = 1.0  # a request of which no byte came for so long is not being read any more
+REQUEST_TIMEOUT_S = 2.25  # to send a complete request; with the sweep interval this stays below 3 s
+FIRST_BYTE_GRACE_S = 0.5  # a client may delay its first byte by this much without shortening its timeout
+# A body may take BODY_GRACE_S plus its size at this rate, which is slightly below the rate clients must keep.
+BODY_GRACE_S, MIN_BODY_BYTES_PER_S = 0.75, 60_000
+READ_STALL_TIMEOUT_S = 10.0  # for a client to read any of the response bytes buffered for it
+NO_REQUEST_WEIGHT = 8.0  # idle time before the first request weighs this much more than between requests
+RECEIVE_IDLE_TIMEOUT_S = 1.0  # a partial request without a new byte for this long is no longer being received
 
 
-class Waits:
+class ClientTimeouts:
+    """Records what a client last sent and read, and tells which of its timeouts have passed."""
+
     def __init__(self) -> None:
-        self.since = time.monotonic()  # for a request
-        self._heard_at = 0.0
-        self._head_at = 0.0  # when the head of the latest request was whole
-        self._since_head = 0  # bytes come since then
-        self._held_at = 0.0  # since when a long body has nowhere to go; 0: it has
-        self.left, self._moved_at = 0, 0.0  # bytes that wait for the client, and when it last read any
+        self.waiting_since = time.monotonic()  # start of the wait for a complete request
+        self._last_received_at = 0.0
+        self._body_started_at = 0.0  # when the headers of the latest request were complete
+        self._body_bytes = 0  # received since then
+        self._paused_at = 0.0  # when the upload was paused; 0: not paused
+        # Response bytes buffered for the client, and when it last read any
+        self.unsent_bytes, self._last_drained_at = 0, 0.0
 
     @property
-    def held(self) -> bool:
-        """A long body has nowhere to go."""
-        return self._held_at > 0
+    def is_upload_paused(self) -> bool:
+        """The upload waits for its endpoint to accept more of the body."""
+        return self._paused_at > 0
 
-    def heard(self, now: float) -> None:
-        self._heard_at = now
+    def data_received(self, now: float) -> None:
+        self._last_received_at = now
 
-    def request_begins(self, now: float, served: bool) -> None:
-        self.since = now if served else min(now, self.since + LATE_START_S)
+    def request_started(self, now: float, has_served: bool) -> None:
+        """The first byte of a request was read. `has_served`: an earlier request was answered here."""
+        self.waiting_since = now if has_served else min(now, self.waiting_since + FIRST_BYTE_GRACE_S)
 
-    def body_begins(self, now: float) -> None:
-        self._head_at, self._since_head = now, 0
+    def body_started(self, now: float) -> None:
+        self._body_started_at, self._body_bytes = now, 0
 
-    def came(self, nbytes: int) -> None:
-        self._since_head += nbytes
+    def count_bytes(self, nbytes: int) -> None:
+        self._body_bytes += nbytes
 
-    def hold(self) -> None:
-        self._held_at = time.monotonic()
+    def pause_upload(self) -> None:
+        self._paused_at = time.monotonic()
 
-    def let_go(self) -> None:
-        if self._held_at:  # what the client could not send meanwhile is no fault of its own
-            self._head_at += time.monotonic() - self._held_at
-            self._held_at = 0.0
+    def resume_upload(self) -> None:
+        if self._paused_at:  # the client could not send during the pause, so it doesn't count against it
+            self._body_started_at += time.monotonic() - self._paused_at
+            self._paused_at = 0.0
 
-    def answered(self) -> None:
-        self.since = self._moved_at = time.monotonic()
+    def answer_sent(self) -> None:
+        self.waiting_since = self._last_drained_at = time.monotonic()
 
-    def look(self, left: int, now: float) -> None:
-        """So many bytes wait for the client."""
-        if left != self.left or not left:
-            self._moved_at = now
-        self.left = left
+    def record_unsent(self, unsent_bytes: int, now: float) -> None:
+        """Record how many response bytes are buffered for the client; a change shows that it is reading."""
+        if unsent_bytes != self.unsent_bytes or not unsent_bytes:
+            self._last_drained_at = now
+        self.unsent_bytes = unsent_bytes
 
-    def is_stalled(self, now: float) -> bool:
-        """The client reads nothing of what waits for it."""
-        return now > self._moved_at + STALL_S
+    def is_read_stalled(self, now: float) -> bool:
+        """The client has read none of its response for too long."""
+        return now > self._last_drained_at + READ_STALL_TIMEOUT_S
 
-    def reads(self, now: float) -> bool:
-        return now < self._moved_at + WAIT_S
+    def is_reading(self, now: float) -> bool:
+        return now < self._last_drained_at + REQUEST_TIMEOUT_S
 
-    def is_late(self, now: float) -> bool:
-        return now > self.since + WAIT_S
+    def is_request_late(self, now: float) -> bool:
+        return now > self.waiting_since + REQUEST_TIMEOUT_S
 
     def is_body_late(self, now: float) -> bool:
-        return not self._held_at and now > self._head_at + BODY_GRACE_S + self._since_head / BODY_RATE
-
-    def is_reading(self, now: float) -> bool:
-        """Of a request that has begun, bytes have come of late."""
-        return now < self._heard_at + READING_S
-
-    def quiet(self, now: float, partial: bool, served: bool) -> float:
-        """For how long it has kept us waiting, against what its kind may take: the longest makes room. A
-        client writes as it connects, and brings its next request some time after an answer, which it may also
-        do on a new connection. One in the midst of a request comes after all that are idle, below 0."""
+        return (
+            not self._paused_at
+            and now > self._body_started_at + BODY_GRACE_S + self._body_bytes / MIN_BODY_BYTES_PER_S
+        )
+
+    def is_receiving(self, now: float) -> bool:
+        """Bytes of a partial request have arrived recently."""
+        return now < self._last_received_at + RECEIVE_IDLE_TIMEOUT_S
+
+    def idle_score(self, now: float, partial: bool, has_served: bool) -> float:
+        """Eviction priority: the connection with the highest score is closed first.
+
+        The score is the idle time. Before the first request it is multiplied by NO_REQUEST_WEIGHT: a client
+        normally writes as soon as it connects, whereas the next request on a used connection may follow some
+        time after a response, and can also be sent on a new connection. Connections with a partial request
+        have negative scores, so they are evicted after all idle ones.
+        """
         if partial:
-            return -1 / max(1e-3, now - self._heard_at)
-        return (now - self.since) * (1.0 if served else SILENT_QUIET)
+            return -1 / max(1e-3, now - self._last_received_at)
+        return (now - self.waiting_since) * (1.0 if has_served else NO_REQUEST_WEIGHT)
--- a/anisespool/http1/__init__.py
+++ b/anisespool/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 parsing and framing, the same for clients, endpoints and discovery. No sockets here."""
+"""HTTP/1.1 parsing and encoding for client, endpoint and discovery connections. It does no I/O."""
 
 from anisespool.http1.encode import (
     LAST_CHUNK,
@@ -6,13 +6,20 @@
     encode_head,
     encode_request,
     encode_response,
-    parse_load,
+    parse_load_report,
+)
+from anisespool.http1.messages import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    Request,
+    Response,
 )
-from anisespool.http1.messages import MAX_BODY, MAX_HEAD, MAX_LONG, Request, Response
 from anisespool.http1.request_parser import RequestParser
 from anisespool.http1.response_parser import ResponseParser
 
 __all__ = [
-    "LAST_CHUNK", "MAX_BODY", "MAX_HEAD", "MAX_LONG", "Request", "RequestParser", "Response",
-    "ResponseParser", "encode_chunk", "encode_head", "encode_request", "encode_response", "parse_load",
+    "LAST_CHUNK", "MAX_BUFFERED_BODY_BYTES", "MAX_HEAD_BYTES", "MAX_STREAMED_BODY_BYTES", "Request",
+    "RequestParser", "Response", "ResponseParser",
+    "encode_chunk", "encode_head", "encode_request", "encode_response", "parse_load_report",
 ]  # fmt: skip
--- a/anisespool/http1/messages.py
+++ b/anisespool/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as they are handed on, and what both parsers collect of a head."""
+"""Parsed requests and responses, their size limits, and the parsing state that both parsers share."""
 
 from __future__ import annotations
 
@@ -6,22 +6,26 @@
 
 from anisespool.body_stream import Flow
 
-MAX_BODY = 64 * 1024  # a longer one passes through
-MAX_LONG = 48 * 1024 * 1024  # some more than what the operators' bodies have at most
-MAX_HEAD = 16 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longer bodies are streamed
+MAX_STREAMED_BODY_BYTES = 48 * 1024 * 1024  # slightly above the largest body that is expected
+MAX_HEAD_BYTES = 16 * 1024
 
 
 class Request(NamedTuple):
+    """A request to be passed on; `flow` streams the body if that is too long to buffer."""
+
     method: bytes
-    target: bytes  # path and query, as they came
+    target: bytes  # path and query, as received
     headers: dict[bytes, bytes]  # names in lower case
     body: bytes
     keep_alive: bool
-    flow: Flow | None = None  # in place of the body, where that is too long
+    flow: Flow | None = None  # replaces the body if that is too long to buffer
     version: str = "1.1"
 
 
 class Response(NamedTuple):
+    """A complete response; the body is empty if it was streamed."""
+
     status: int
     headers: dict[bytes, bytes]
     body: bytes
@@ -29,29 +33,31 @@
 
     @property
     def length(self) -> int | None:
-        """As told, whether or not the body came."""
-        return told_length(self.headers)
+        """The declared Content-Length, whether or not a body was received."""
+        return declared_length(self.headers)
 
 
-def told_length(headers: dict[bytes, bytes]) -> int | None:
-    told = headers.get(b"content-length", b"")
-    return int(told[:20]) if told.isdigit() else None
+def declared_length(headers: dict[bytes, bytes]) -> int | None:
+    """Content-Length, or None if it is missing or not a number."""
+    value = headers.get(b"content-length", b"")
+    return int(value[:20]) if value.isdigit() else None
 
 
-class Head:
-    """What both directions collect. Headers without end would fill the memory."""
+class PartialMessage:
+    """What a parser has collected of a message. Headers are limited in size, so that they can't exhaust
+    memory."""
 
     def __init__(self) -> None:
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.head_size = self.body_size = 0
-        self.whole = False  # what still comes as a header is a trailer, and counts by its size alone
+        self.head_bytes = self.body_bytes = 0
+        self.head_complete = False  # later headers are trailers: only their size counts
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        self.head_size += len(name) + len(value)
-        if self.head_size <= MAX_HEAD and not self.whole:
-            self.headers.setdefault(name.lower(), value.strip(b" \t"))  # the parser keeps blanks at the end
+        self.head_bytes += len(name) + len(value)
+        if self.head_bytes <= MAX_HEAD_BYTES and not self.head_complete:
+            self.headers.setdefault(name.lower(), value.strip(b" \t"))  # httptools keeps trailing blanks
 
     def length(self) -> int | None:
-        """As told ahead, or None."""
-        return told_length(self.headers)
+        """The declared Content-Length, or None."""
+        return declared_length(self.headers)
--- a/anisespool/http1/request_parser.py
+++ b/anisespool/http1/request_parser.py
@@ -1,4 +1,4 @@
-"""Bytes of a client, as requests. No sockets here."""
+"""Parses the bytes that a client sends into requests. It does no I/O."""
 
 from __future__ import annotations
 
@@ -8,49 +8,55 @@
 import httptools
 
 from anisespool.body_stream import Flow
-from anisespool.http1.messages import MAX_BODY, MAX_HEAD, MAX_LONG, Head, Request
+from anisespool.http1.messages import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    PartialMessage,
+    Request,
+)
 
-# A parser of httptools and its owner here hold each other. Left to the collector, pairs pile up with
-# all that they have read, one for each request; so each is closed once it is done with.
+# An httptools parser and its owner reference each other. Left to the garbage collector, these cycles would
+# pile up, one per request, with the data that they have read; so each parser is closed after use.
 
 
 class RequestParser:
-    """Bytes in, requests out: whole ones, or with a flow in place of a body too long to hold. After `error`
-    (the status to answer) the stream is of no more use."""
+    """An incremental parser: complete requests, or requests with a flow if the body is too long to buffer.
+    Once `error` (the status to respond with) is set, nothing more can be parsed from the connection."""
 
     def __init__(
         self, pause: Callable[[], None] = lambda: None, resume: Callable[[], None] = lambda: None
     ) -> None:
-        """`pause` and `resume` act on the source of the bytes, while a flow has nowhere to go."""
+        """`pause` and `resume` control reading from the client, when the consumer of a flow is too slow."""
         self.error = 0
         self.wants_continue = False
-        self.received = 0  # bytes of the present request's body
+        self.body_bytes = 0  # received of the current request's body
         self._pause, self._resume = pause, resume
-        self._done: list[Request] = []
+        self._completed: list[Request] = []
         self._flow: Flow | None = None
         self._parser = httptools.HttpRequestParser(self)
         self.on_message_begin()
 
     @property
     def partial(self) -> bool:
-        """Part of a request has come."""
-        return self._begun
+        """Whether a request has been received in part."""
+        return self._started
 
     @property
     def in_body(self) -> bool:
-        return self._begun and self._head.whole
+        return self._started and self._message.head_complete
 
     def feed(self, data: bytes | memoryview) -> list[Request]:
-        """The requests that these bytes complete; those before a fault in the bytes still count."""
+        """The requests that these bytes complete, including those that precede a syntax error."""
         if not self.error:
             try:
                 self._parser.feed_data(data)
-            except httptools.HttpParserError:  # an upgrade included: there is none to be had
+            except httptools.HttpParserError:  # also raised for an upgrade, as none is supported
                 self.error = self.error or HTTPStatus.BAD_REQUEST
         if self.error and self._flow:
             self._flow.fail()
-        done, self._done = self._done, []
-        return done
+        completed, self._completed = self._completed, []
+        return completed
 
     def close(self) -> None:
         """No more bytes will be fed."""
@@ -59,73 +65,79 @@
             self._flow.fail()
 
     def on_message_begin(self) -> None:
-        self._target, self._head, self._begun = b"", Head(), False
-        self.received, self._flow = 0, None
+        self._target, self._message, self._started = b"", PartialMessage(), False
+        self.body_bytes, self._flow = 0, None
 
     def on_url(self, url: bytes) -> None:
-        self._begun = True
-        self._head.head_size += len(url)
-        if self._head.head_size <= MAX_HEAD:
+        self._started = True
+        self._message.head_bytes += len(url)
+        if self._message.head_bytes <= MAX_HEAD_BYTES:
             self._target += url
         else:
             self.error = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._head.add_header(name, value or b"")
-        if self._head.head_size > MAX_HEAD:
+        self._message.add_header(name, value or b"")
+        if self._message.head_bytes > MAX_HEAD_BYTES:
             self.error = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 
     def on_headers_complete(self) -> None:
-        self._head.whole = True
-        length = self._head.length() or 0
-        if length > MAX_LONG:
+        self._message.head_complete = True
+        length = self._message.length() or 0
+        if length > MAX_STREAMED_BODY_BYTES:
             self.error = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
             return
-        if self._head.headers.get(b"expect", b"").lower() == b"100-continue":
+        if self._message.headers.get(b"expect", b"").lower() == b"100-continue":
             self.wants_continue = True
-        if length > MAX_BODY:
-            self._pass_through(length)
+        if length > MAX_BUFFERED_BODY_BYTES:
+            self._start_streaming(length)
 
     def on_body(self, data: bytes) -> None:
-        self.received += len(data)
+        self.body_bytes += len(data)
         if self.error:
             return
-        if self.received > MAX_LONG:
+        if self.body_bytes > MAX_STREAMED_BODY_BYTES:
             self.error = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
         elif self._flow:
             self._flow.feed(data)
         else:
-            self._head.body.append(data)
-            if self.received > MAX_BODY:
-                self._pass_through(None)
+            self._message.body.append(data)
+            if self.body_bytes > MAX_BUFFERED_BODY_BYTES:
+                self._start_streaming(None)
 
-    def _pass_through(self, length: int | None) -> None:
+    def _start_streaming(self, length: int | None) -> None:
         self._flow = Flow(length, self._pause, self._resume)
-        for data in self._head.body:
+        for data in self._message.body:
             self._flow.feed(data)
-        self._head.body.clear()
-        self._done.append(self._request(b"", self._flow))
+        self._message.body.clear()
+        self._completed.append(self._request(b"", self._flow))
 
     def _request(self, body: bytes, flow: Flow | None = None) -> Request:
         parser = self._parser
-        method, keep, version = parser.get_method(), parser.should_keep_alive(), parser.get_http_version()
-        return Request(method, _origin_form(self._target), self._head.headers, body, keep, flow, version)
+        method, keep_alive, version = (
+            parser.get_method(),
+            parser.should_keep_alive(),
+            parser.get_http_version(),
+        )
+        return Request(
+            method, _origin_form(self._target), self._message.headers, body, keep_alive, flow, version
+        )
 
     def on_message_complete(self) -> None:
-        self._begun = self.wants_continue = False
+        self._started = self.wants_continue = False
         flow, self._flow = self._flow, None
         if self.error:
-            self._flow = flow  # which feed will fail
+            self._flow = flow  # `feed` calls its fail()
         elif flow:
             flow.end()
         else:
-            self._done.append(self._request(b"".join(self._head.body)))
+            self._completed.append(self._request(b"".join(self._message.body)))
 
 
 def _origin_form(target: bytes) -> bytes:
-    """Path and query, also of a target with scheme and host as a proxy is sent it."""
-    scheme, mark, rest = target.partition(b"://")
-    if target.startswith(b"/") or not mark or scheme.lower() not in (b"http", b"https"):
+    """Path and query of a target in origin form, or in absolute form as sent to a proxy (RFC 9112, 3.2)."""
+    scheme, separator, rest = target.partition(b"://")
+    if target.startswith(b"/") or not separator or scheme.lower() not in (b"http", b"https"):
         return target
     _, slash, path = rest.partition(b"/")
     return slash + path or b"/"
--- a/anisespool/http1/response_parser.py
+++ b/anisespool/http1/response_parser.py
@@ -1,4 +1,4 @@
-"""Bytes of an endpoint or of discovery, as a response. No sockets here."""
+"""Parses the bytes that an endpoint or discovery sends into a response. It does no I/O."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 import httptools
 
 from anisespool.body_stream import Flow
-from anisespool.http1.messages import MAX_BODY, MAX_HEAD, Head, Response
+from anisespool.http1.messages import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, PartialMessage, Response
 
 
 class ResponseParser:
-    """Bytes in, one response out; a body may be handed on as it comes (discovery's watch), or as a flow if
-    it is too long to hold."""
+    """An incremental parser for one response. The body is buffered, passed to a callback as it arrives (the
+    watch stream of discovery), or streamed as a flow if it is too long to buffer."""
 
     def __init__(
         self,
         on_body: Callable[[bytes], None] | None = None,
         on_flow: Callable[[], Flow] | None = None,
-        bodiless: bool = False,
+        is_head_response: bool = False,
     ) -> None:
-        """`on_flow`: to be asked for one with the first bytes of a long body. `bodiless`: the answer to a
-        HEAD, whose framing speaks of a body that does not come."""
+        """`on_flow`: provides the flow for a body that is to be streamed. `is_head_response`: the response to
+        a HEAD request, whose headers describe a body that is not sent."""
         self.response: Response | None = None
-        self.status = 0  # once the head is whole
+        self.status = 0  # 0 until the headers are complete
         self.broken = False
         self.flow: Flow | None = None
-        self._sink, self._on_flow, self._bodiless = on_body, on_flow, bodiless
+        self._on_body, self._on_flow, self._is_head_response = on_body, on_flow, is_head_response
         self._parser = httptools.HttpResponseParser(self)
-        self._head = Head()
+        self._message = PartialMessage()
 
     def feed(self, data: bytes | memoryview) -> Response | None:
-        """The response, once it is whole."""
+        """Parse more bytes; returns the response once it is complete."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -42,8 +42,8 @@
         return None if self.broken else self.response
 
     def end(self) -> Response | None:
-        """The connection has ended in order: with no framing, that is what ends the body."""
-        framed = b"content-length" in self._head.headers or b"transfer-encoding" in self._head.headers
+        """The connection was closed in an orderly way, which ends a body that has no declared length."""
+        framed = b"content-length" in self._message.headers or b"transfer-encoding" in self._message.headers
         if self.response is None and self.status and not framed and not self.broken:
             self._complete(False)
         elif self.response is None and self.flow:
@@ -58,52 +58,52 @@
 
     @property
     def length(self) -> int | None:
-        """Of the body, as told ahead, or None."""
-        return self._head.length()
+        """The declared Content-Length, or None."""
+        return self._message.length()
 
-    def pass_on(self) -> None:
-        """Hold the body no longer, however long it will be."""
+    def start_streaming(self) -> None:
+        """Stop buffering the body, and pass on what has been received, whatever its length."""
         if self._on_flow and self.flow is None and self.response is None:
             self.flow = self._on_flow()
-            for data in self._head.body:
+            for data in self._message.body:
                 self.flow.feed(data)
-            self._head.body.clear()
+            self._message.body.clear()
 
     def on_message_begin(self) -> None:
-        if self.response is not None:  # bytes past its end: nobody asked for them
+        if self.response is not None:  # unexpected bytes after the end of the response
             self.response = self.response._replace(keep_alive=False)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._head.add_header(name, value or b"")
-        self.broken = self.broken or self._head.head_size > MAX_HEAD
+        self._message.add_header(name, value or b"")
+        self.broken = self.broken or self._message.head_bytes > MAX_HEAD_BYTES
 
     def on_headers_complete(self) -> None:
         if self.response is None:
-            self.status, self._head.whole = self._parser.get_status_code(), True
-            if self._bodiless and self.status >= HTTPStatus.OK:
+            self.status, self._message.head_complete = self._parser.get_status_code(), True
+            if self._is_head_response and self.status >= HTTPStatus.OK:
                 self._complete(self._parser.should_keep_alive())
 
     def on_body(self, data: bytes) -> None:
-        if self._sink:
-            self._sink(data)
+        if self._on_body:
+            self._on_body(data)
         elif self.response is None and not self.broken:
-            self._head.body_size += len(data)
+            self._message.body_bytes += len(data)
             if self.flow:
                 self.flow.feed(data)
                 return
-            self._head.body.append(data)
-            if max(self._head.body_size, self._head.length() or 0) > MAX_BODY:
+            self._message.body.append(data)
+            if max(self._message.body_bytes, self._message.length() or 0) > MAX_BUFFERED_BODY_BYTES:
                 if self.status == HTTPStatus.OK:
-                    self.pass_on()
+                    self.start_streaming()
                 self.broken = self.flow is None
 
     def on_message_complete(self) -> None:
-        if self.status < HTTPStatus.OK:  # 100 Continue and its like announce, they do not answer
-            self.status, self._head = 0, Head()
+        if self.status < HTTPStatus.OK:  # interim responses such as 100 Continue are not final
+            self.status, self._message = 0, PartialMessage()
         elif self.response is None and not self.broken:
             self._complete(self._parser.should_keep_alive())
 
-    def _complete(self, keep: bool) -> None:
-        self.response = Response(self.status, self._head.headers, b"".join(self._head.body), keep)
+    def _complete(self, keep_alive: bool) -> None:
+        self.response = Response(self.status, self._message.headers, b"".join(self._message.body), keep_alive)
         if self.flow:
             self.flow.end()
--- a/anisespool/limits.py
+++ b/anisespool/limits.py
@@ -38,7 +38,7 @@
             descriptors, pages = "all", 0
         say(
             "resources",
-            f"{descriptors} descriptors, {server.census()}; "
+            f"{descriptors} descriptors, {server.connection_summary()}; "
             f"{len(endpoints.connections)} connections to endpoints; {sidecar.open} requests, "
             f"{len(asyncio.all_tasks())} tasks; {pages * resource.getpagesize() >> 10} KiB",
         )
--- a/anisespool/service.py
+++ b/anisespool/service.py
@@ -15,7 +15,7 @@
 from anisespool.endpoints import Endpoints
 from anisespool.fleet.shared_state import FleetState
 from anisespool.fleet.upgrade_rates import BesideRates
-from anisespool.front.listener import open_listener, opened
+from anisespool.front.listener import open_listener, open_with_retry
 from anisespool.front.server import Server
 from anisespool.front.shutdown import Shutdown
 from anisespool.limits import log_resources, shares
@@ -113,7 +113,7 @@
         if self._memory:
             self._memory.load()
         tasks = [loop.create_task(supervise(name, work)) for name, work in self._works(moves)]
-        self._server.heartbeat.beat()
+        self._server.stall_detector.start()
         if self._config.inherited_fd is not None:
             await first_of((self._watch.heard, stop), LIST_WAIT_S)
         elif self._config.settings.discovery == "push":
@@ -122,7 +122,7 @@
             await self._warm.ask(self._watch.heard)
             tasks.append(loop.create_task(supervise("what peers' lists say", self._follow_peers)))
         await asyncio.sleep(self._pair.unknown_s())  # or its first keys would be unknown there
-        address = await opened(*self._listener(), stop)
+        address = await open_with_retry(*self._listener(), stop)
         if address is not None:
             on_listening(address)
             self._operators.serving = True
@@ -186,13 +186,13 @@
         clients, servers = shares(self._config, two)
         if self._beside:
             self._beside.two = two
-        self._server.limit(clients)
+        self._server.set_connection_limit(clients)
         self._endpoints.limit(servers)
 
     async def _open_admin(self, address: Address, stop: asyncio.Event) -> bool:
         """False: `stop` came first."""
         name = "LB_ADMIN_ADDR or key admin_addr"
-        listener = await opened(name, lambda: open_listener(address, ADMIN_BACKLOG), stop)
+        listener = await open_with_retry(name, lambda: open_listener(address, ADMIN_BACKLOG), stop)
         if listener:
             self._admin.listen(listener)
         return listener is not None
--- a/tests/test_accept_failures.py
+++ b/tests/test_accept_failures.py
@@ -36,7 +36,7 @@
 @pytest.fixture(autouse=True)
 def clients_may_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """So that none is ended for its silence, which would look the same."""
-    monkeypatch.setattr(timeouts, "WAIT_S", 60.0)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 60.0)
 
 
 async def is_served(address: Address) -> bool:
@@ -47,7 +47,7 @@
 async def test_a_connection_that_is_gone_as_it_is_accepted_delays_no_other(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int
 ) -> None:
-    monkeypatch.setattr(server, "ACCEPT_PAUSE_S", PAUSE_S)
+    monkeypatch.setattr(server, "ACCEPT_RETRY_DELAY_S", PAUSE_S)
     monkeypatch.setattr(admin, "ACCEPT_PAUSE_S", PAUSE_S)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint, admin=True) as it:
         assert it.admin
@@ -73,8 +73,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
     """A planned end: all that wait in the queue are answered."""
-    monkeypatch.setattr(server, "ACCEPT_PAUSE_S", PAUSE_S)
-    count = server.ACCEPTED_AT_ONCE + 4
+    monkeypatch.setattr(server, "ACCEPT_RETRY_DELAY_S", PAUSE_S)
+    count = server.MAX_ACCEPTS_PER_TURN + 4
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         clients = [socket.create_connection(it.address) for _ in range(count)]  # nothing is accepted yet
         for client in clients:
@@ -102,7 +102,7 @@
         failing = FailingCall(monkeypatch, "accept", number, 1, listens_at(it.address))
         began = monotonic()
         assert await is_served(it.address)
-        assert failing.failed == 1 and monotonic() - began >= server.ACCEPT_PAUSE_S / 2
+        assert failing.failed == 1 and monotonic() - began >= server.ACCEPT_RETRY_DELAY_S / 2
         async with asyncio.timeout(5.0):
             assert await idle_reader.read() == b""
         idle_writer.close()
@@ -116,8 +116,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int
 ) -> None:
     times = 6
-    monkeypatch.setattr(server, "ACCEPT_PAUSE_S", 0.02)
-    monkeypatch.setattr(listener, "QUIET_S", 60.0)
+    monkeypatch.setattr(server, "ACCEPT_RETRY_DELAY_S", 0.02)
+    monkeypatch.setattr(listener, "ACCEPT_LOG_INTERVAL_S", 60.0)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint, admin=True) as it:
         assert it.admin
         for address in (it.address, it.admin):
@@ -140,12 +140,12 @@
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         runs = 5
         failing = FailingCall(
-            monkeypatch, "accept", errno.EPERM, runs * server.ACCEPTED_AT_ONCE, listens_at(it.address)
+            monkeypatch, "accept", errno.EPERM, runs * server.MAX_ACCEPTS_PER_TURN, listens_at(it.address)
         )
         began = monotonic()
         assert await is_served(it.address)
-        assert failing.failed == runs * server.ACCEPTED_AT_ONCE
-        assert monotonic() - began > runs * server.ACCEPT_PAUSE_S / 2
+        assert failing.failed == runs * server.MAX_ACCEPTS_PER_TURN
+        assert monotonic() - began > runs * server.ACCEPT_RETRY_DELAY_S / 2
 
 
 @pytest.mark.parametrize("number", [errno.EINVAL, errno.ENOTCONN, errno.ENOBUFS])
@@ -163,5 +163,5 @@
                     assert await asyncio.get_running_loop().sock_recv(client, 1) == b""
         assert await is_served(it.address)
         assert (await call(it.admin, b"READY\n")).startswith(b"SUCCESS")
-        assert not it.service._server._accepting
+        assert not it.service._server._accept_tasks
     assert "Traceback" not in capfd.readouterr().err
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -66,7 +66,7 @@
 ) -> None:
     """With a shorter wait for a request, that a busy machine makes no difference; tests/test_crowds.py holds
     the real one against the 3 s."""
-    monkeypatch.setattr(timeouts, "WAIT_S", 0.75)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.75)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         assert (await exchange(it.address, raw_call())).status == 200
         service = it.service
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -91,7 +91,7 @@
             if closes == "room":
                 assert not listener.make_room()
             elif closes == "sweep":
-                connection.end_if_late(monotonic() + 60.0)
+                connection.enforce_timeouts(monotonic() + 60.0)
             else:
                 stopping = asyncio.create_task(listener.stop(end_now()))
                 await asyncio.sleep(0)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -39,7 +39,7 @@
 async def test_without_descriptors_connections_wait_and_the_loop_does_not_spin(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(listener, "QUIET_S", 0.0)
+    monkeypatch.setattr(listener, "ACCEPT_LOG_INTERVAL_S", 0.0)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         assert (await exchange(sidecar.address, raw_call())).status == 200
         release = asyncio.Event()
@@ -85,10 +85,10 @@
 async def test_a_peer_that_brings_no_request_is_ended_and_one_that_waits_for_its_answer_is_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert timeouts.WAIT_S + 2 * server.SWEEP_S < 3  # what such a peer is owed
-    monkeypatch.setattr(timeouts, "WAIT_S", 0.1)
+    assert timeouts.REQUEST_TIMEOUT_S + 2 * server.SWEEP_INTERVAL_S < 3  # what such a peer is owed
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
-    monkeypatch.setattr(server, "SWEEP_S", 0.01)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
     release = asyncio.Event()
     async with Endpoint(held_until(release)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         waiting = asyncio.create_task(exchange(sidecar.address, raw_call(left_ms=15_000)))
@@ -156,7 +156,7 @@
         await until(lambda: len(endpoint.requests) == 3)
         idle = [await asyncio.open_connection(*address) for _ in range(20)]
         await until(lambda: len(listening.connections) == 23)
-        listening.limit(5)
+        listening.set_connection_limit(5)
         assert len(listening.connections) == 5
         ends = asyncio.gather(*(reader.read() for reader, _ in idle[:18]))
         assert await ends == [b""] * 18
@@ -207,9 +207,9 @@
 async def test_a_client_that_reads_no_answers_is_ended_before_they_fill_the_memory(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(timeouts, "WAIT_S", 0.1)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
-    monkeypatch.setattr(server, "SWEEP_S", 0.01)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
     asked, body = 1000, b"x" * 65536
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     async with Endpoint(reply).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
--- a/tests/test_gone_sockets.py
+++ b/tests/test_gone_sockets.py
@@ -67,9 +67,9 @@
 @pytest.fixture
 def hurried(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that bring half a request are ended soon."""
-    monkeypatch.setattr(timeouts, "WAIT_S", 0.1)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
-    monkeypatch.setattr(server, "SWEEP_S", 0.01)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
 
 
 @pytest.mark.usefixtures("hurried")
@@ -97,11 +97,11 @@
         client = socket.create_connection(it.address)
         client.sendall(HALF)
         await until(lambda: any(c.stage == "half-written" for c in it.service._server.connections))
-        monkeypatch.setattr(timeouts, "WAIT_S", 0.0)
+        monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.0)
         monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.0)
         (connection,) = it.service._server.connections
         client.close()
-        connection.end_if_late(asyncio.get_running_loop().time())  # in the turn in which it closed
+        connection.enforce_timeouts(asyncio.get_running_loop().time())  # in the turn in which it closed
         await nothing_is_held(it)
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from anisespool.http1 import RequestParser, ResponseParser, encode_response, parse_load
+from anisespool.http1 import RequestParser, ResponseParser, encode_response, parse_load_report
 
 TWO = (
     b"POST /once/1?x=%20 HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: 3\r\n\r\nabc"
@@ -89,7 +89,7 @@
     ],
 )
 def test_load_reports(value: bytes | None, load: tuple[float, ...]) -> None:
-    assert parse_load(value, ("queue", "inflight")) == load
+    assert parse_load_report(value, ("queue", "inflight")) == load
 
 
 @pytest.mark.parametrize("kind", [RequestParser, ResponseParser])
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -205,8 +205,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
-    monkeypatch.setattr(timeouts, "BODY_RATE", 1e6)
-    monkeypatch.setattr(server, "SWEEP_S", 0.01)
+    monkeypatch.setattr(timeouts, "MIN_BODY_BYTES_PER_S", 1e6)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
     async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         writer.write(plain(LONG)[:300_000])
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -149,8 +149,8 @@
 async def test_a_client_that_stops_reading_is_ended_and_its_server_let_go(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(timeouts, "STALL_S", 0.1)
-    monkeypatch.setattr(server, "SWEEP_S", 0.01)
+    monkeypatch.setattr(timeouts, "READ_STALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
     ended = []
 
     async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_long_turns.py
+++ b/tests/test_long_turns.py
@@ -10,7 +10,7 @@
 import pytest
 
 from anisespool.exchange import Call
-from anisespool.front.request_decoding import Arrival, BadCall, after_wait
+from anisespool.front.request_decoding import InvalidRequest, ReceivedRequest, deduct_wait
 from anisespool.http1 import Request
 from tests.drains import scene
 from tests.net import member_list, read_response, until
@@ -35,14 +35,14 @@
 ) -> None:
     call = Call(Request(b"GET", b"/look", {}, b"", True), 0, 0, 600 * MS, None, 0, False)
     read_ns = SECOND + unread_ms * MS
-    arrival = Arrival(call.request, SECOND, read_ns, stalled)
+    arrival = ReceivedRequest(call.request, SECOND, read_ns, stalled)
     now_ns = read_ns + behind_ms * MS
     if left_ms is None:
-        with pytest.raises(BadCall) as refused:
-            after_wait(call, arrival, now_ns)
+        with pytest.raises(InvalidRequest) as refused:
+            deduct_wait(call, arrival, now_ns)
         assert refused.value.status == 503
     else:
-        assert after_wait(call, arrival, now_ns).left_ns == left_ms * MS
+        assert deduct_wait(call, arrival, now_ns).left_ns == left_ms * MS
 
 
 @pytest.mark.parametrize(("left_ms", "status"), [(600, 503), (2000, 200)])
--- a/tests/test_newcomers.py
+++ b/tests/test_newcomers.py
@@ -46,7 +46,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """That takes longer than newcomers take to come: they wait unread, and servers are told too much time."""
-    places, looks, quiet = 100, 0, ClientConnection.quiet
+    places, looks, quiet = 100, 0, ClientConnection.idle_score
 
     def counted(self: ClientConnection, now: float) -> float:
         nonlocal looks
@@ -55,7 +55,7 @@
 
     async with front_with(places, tmp_path) as address:
         before = [await newcomer(address) for _ in range(places)]
-        monkeypatch.setattr(ClientConnection, "quiet", counted)
+        monkeypatch.setattr(ClientConnection, "idle_score", counted)
         after = await asyncio.gather(*(newcomer(address) for _ in range(places)))
         assert places <= looks < places * places / 4
         for _, writer in (*before, *after):
@@ -65,7 +65,7 @@
 async def test_who_has_been_served_since_the_order_was_made_keeps_its_place(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "ORDER_S", 60.0)
+    monkeypatch.setattr(server, "EVICTION_ORDER_LIFETIME_S", 60.0)
     async with front_with(3, tmp_path) as address:
         first, second, third = [await newcomer(address) for _ in range(3)]
         # One that was served is passed over until it has been quiet as long as it was in the order.
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -74,7 +74,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int
 ) -> None:
     """After a pause in which nobody was accepted, as the loop's register fails in its turn."""
-    monkeypatch.setattr(server, "ACCEPT_PAUSE_S", 0.02)
+    monkeypatch.setattr(server, "ACCEPT_RETRY_DELAY_S", 0.02)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         loop = asyncio.get_running_loop()
         real, failed = loop.add_reader, [0]
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -13,7 +13,7 @@
 from anisespool.config import Address, load
 from anisespool.discovery.deadline import TOLD_S
 from anisespool.front.server import Server
-from anisespool.front.timeouts import READING_S
+from anisespool.front.timeouts import RECEIVE_IDLE_TIMEOUT_S
 from tests.fleet import Fleet, Relay
 from tests.net import (
     Discovery,
@@ -91,7 +91,7 @@
         writer.write(data[:-1])
         await until(lambda: any(c.stage == "half-written" for c in listener.connections))
         began = monotonic()
-        await until(lambda: monotonic() > began + READING_S / 2)
+        await until(lambda: monotonic() > began + RECEIVE_IDLE_TIMEOUT_S / 2)
         crowd = [await rest(address) for _ in range(8)]  # 3 have a place
         writer.write(data[-1:])
         assert (await read_response(reader)).status == 200
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -36,8 +36,8 @@
     assert 5 * SECOND < plan.accept_until_ns <= plan.answer_by_ns < plan.close_by_ns
     assert plan.close_by_ns + 200 * MS <= plan.kill_ns  # two stalls of 0.15 s, of the signal and of a timer
     for stage in set(Stage) - {Stage.ANSWERING_AT_LENGTH}:
-        assert plan.stays_until_ns(stage) <= plan.close_by_ns
-    assert plan.stays_until_ns(Stage.ANSWERING_AT_LENGTH) >= plan.close_by_ns
+        assert plan.stage_deadline_ns(stage) <= plan.close_by_ns
+    assert plan.stage_deadline_ns(Stage.ANSWERING_AT_LENGTH) >= plan.close_by_ns
 
 
 def test_what_is_open_as_the_process_ends_is_answered_by_then() -> None:
@@ -164,7 +164,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Held up in the very look at the connections, it gets to their end before the timers of the answers."""
-    end_stages, stalled = Server._end_stages, False
+    end_stages, stalled = Server._end_overdue_stages, False
 
     def stall(server: Server, shutdown: Shutdown) -> None:
         nonlocal stalled
@@ -173,7 +173,7 @@
             sleep((shutdown.close_by_ns - monotonic_ns()) / SECOND + 0.05)
         end_stages(server, shutdown)
 
-    monkeypatch.setattr(Server, "_end_stages", stall)
+    monkeypatch.setattr(Server, "_end_overdue_stages", stall)
     async with AsyncExitStack() as stack:
         silent = await stack.enter_async_context(Endpoint(say_nothing).serve())
         it = await stack.enter_async_context(world(tmp_path, silent, request_classes=classes_with(1.0)))
--- a/tests/test_taken.py
+++ b/tests/test_taken.py
@@ -23,7 +23,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, closes: str, size: int
 ) -> None:
     """The rest is in the kernel, and the loop has not read it yet, as the connection is to make room."""
-    monkeypatch.setattr(timeouts, "READING_S", 0.0)
+    monkeypatch.setattr(timeouts, "RECEIVE_IDLE_TIMEOUT_S", 0.0)
     async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         listener = Server(it.sidecar, config.names, config.settings, 8)
@@ -38,9 +38,9 @@
             if closes == "room":
                 listener.make_room()
             elif closes == "limit":
-                listener.limit(0)
+                listener.set_connection_limit(0)
             else:
-                connection.end_if_late(monotonic() + 60.0)
+                connection.enforce_timeouts(monotonic() + 60.0)
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 65536)
             assert answer.startswith(b"HTTP/1.1 ")
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -10,7 +10,7 @@
 import pytest
 
 from anisespool.exchange import Answer, Call
-from anisespool.front.http_connection import MOST_PIPELINED
+from anisespool.front.http_connection import MAX_PIPELINED_REQUESTS
 from anisespool.sidecar import Sidecar
 from tests.net import Endpoint, held_until, raw_call, until, world
 
@@ -29,7 +29,7 @@
     release = asyncio.Event()
     async with Endpoint(held_until(release)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         _, writer = await asyncio.open_connection(*sidecar.address)
-        for n in range(MOST_PIPELINED + 2):
+        for n in range(MAX_PIPELINED_REQUESTS + 2):
             writer.write(raw_call("once", f"ahead{n}", left_ms=600, body=b"abc"))
         await until(lambda: len(endpoint.requests) == 1)  # the others are read ahead, and no more is read
         writer.write(raw_call("once", "unread", left_ms=600, body=b"abc"))
