--- a/anisespool/__main__.py
+++ b/anisespool/__main__.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 
 from anisespool.config import Address, Config, load
-from anisespool.discovery.watch import Move
+from anisespool.discovery.watch import AddressChange
 from anisespool.errors import ConfigError, ConfigUnreadable
 from anisespool.log import say
 from anisespool.reload import Reload
@@ -23,7 +23,7 @@
 async def run(
     config: Config,
     stop: asyncio.Event,
-    moves: asyncio.Queue[Move],
+    moves: asyncio.Queue[AddressChange],
     on_listening: Callable[[Address], None],
 ) -> None:
     await Service(config).run(stop, moves, on_listening)
--- a/anisespool/admin_commands.py
+++ b/anisespool/admin_commands.py
@@ -57,7 +57,7 @@
                  for name, n in self._config.names.tenants.items())  # fmt: skip
         ages = sorted(report.age_ns / 1e9 for report in shared.reports[1:])
         oldest = f", the oldest {ages[-1]:.2f} s" if ages else ""
-        out = sorted(self._sidecar.servers.names_of(verdict.endpoint for verdict in shared.ejected))
+        out = sorted(self._sidecar.servers.ids_of(verdict.endpoint for verdict in shared.ejected))
         shown = " ".join(out[:STATE_SHOWN]) + (" ..." if len(out) > STATE_SHOWN else "")
         return f"{', '.join(rates)}; {len(ages)} reports{oldest}; {len(out)} ejected: {shown}".rstrip()
 
--- a/anisespool/config.py
+++ b/anisespool/config.py
@@ -13,7 +13,7 @@
 from anisespool.member_list import Address as Address
 from anisespool.member_list import Member as Member
 from anisespool.member_list import MemberList as MemberList
-from anisespool.member_list import Names as Names
+from anisespool.member_list import NameIndex as NameIndex
 from shuntlead import Settings, SettingsError
 
 
@@ -35,7 +35,7 @@
     memory_bytes: int
     keepalive_ns: int
     settings: Settings
-    names: Names
+    names: NameIndex
     known: MemberList
     peers: PeerAddresses | None  # None: the settings allow no messages, or no address was given
     admin: Address | None = None  # where operators call; None: nowhere
@@ -128,7 +128,7 @@
     return int(value)
 
 
-def _names(raw: dict[str, Any]) -> Names:
+def _names(raw: dict[str, Any]) -> NameIndex:
     def places(key: str, named: bool) -> dict[str, int]:
         try:
             rows = raw.get(key) or []
@@ -137,10 +137,10 @@
             raise ConfigError(f"LB_CONFIG: key settings.{key}: names are needed") from None
 
     classes, tenants = places("request-classes", True), places("tenants", True)
-    return Names(classes, tenants, places("zones", False), places("skus", False), CLOCK.epoch_ns)
+    return NameIndex(classes, tenants, places("zones", False), places("skus", False), CLOCK.epoch_ns)
 
 
-def _known(names: Names, raw: Any) -> MemberList:
+def _known(names: NameIndex, raw: Any) -> MemberList:
     if raw is None:
         return MemberList(0, True, ())
     try:
--- a/anisespool/discovery/__init__.py
+++ b/anisespool/discovery/__init__.py
@@ -1,1 +1,2 @@
-"""Discovery's list: `watch` has the calls, `clock` says when they are due, `lines` reads what comes."""
+"""The client of discovery: `watch` keeps a streaming call open, `clock` and `deadline` decide when to call
+again, `stream`, `channel` and `object_decoder` read one call."""
--- a/anisespool/discovery/channel.py
+++ b/anisespool/discovery/channel.py
@@ -1,4 +1,4 @@
-"""One TCP connection to discovery: its bytes are handed on as they are read, by the loop or ahead of it."""
+"""A TCP connection to discovery. Data is read by the event loop, or on demand before the loop gets to it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 class Channel(asyncio.Protocol):
     def __init__(self, on_data: Callable[[bytes], None]) -> None:
-        """`on_data` gets all bytes in order; what it raises ends the connection."""
+        """`on_data` receives all data in order. An exception that it raises closes the connection."""
         self._on_data = on_data
         self._transport: asyncio.Transport | None = None
-        self._over = asyncio.Event()
+        self._closed = asyncio.Event()
         self._error: Exception | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -26,7 +26,7 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self._over.is_set():
+        if self._closed.is_set():
             return
         try:
             self._on_data(data)
@@ -41,14 +41,15 @@
             self._transport.write(data)
 
     async def ended(self) -> None:
-        """Until the connection has ended in order. Raises OSError, or what the handler of its bytes did."""
-        await self._over.wait()
+        """Waits for the end of the connection. Raises OSError if it failed, or the exception of `on_data`."""
+        await self._closed.wait()
         if self._error:
             raise self._error
 
-    def look(self) -> None:
-        """Read what has come, ahead of the loop: one turn of it may take long. An end is left to the loop."""
-        if self._over.is_set() or self._transport is None or self._transport.is_closing():
+    def read_pending(self) -> None:
+        """Reads data that has arrived without waiting for the event loop, an iteration of which may take
+        long. The end of the connection is left to the loop."""
+        if self._closed.is_set() or self._transport is None or self._transport.is_closing():
             return
         descriptor = self._transport.get_extra_info("socket").fileno()
         with suppress(OSError):
@@ -56,19 +57,19 @@
                 self.data_received(data)
 
     def close(self) -> None:
-        """Nothing more is handed on."""
+        """Closes the connection. `on_data` is not called any more."""
         self._end(None)
 
     def _end(self, error: Exception | None) -> None:
-        if not self._over.is_set():
+        if not self._closed.is_set():
             self._error = error
-            self._over.set()
+            self._closed.set()
         if self._transport:
             self._transport.abort()
 
 
 async def open_channel(address: Address, on_data: Callable[[bytes], None]) -> Channel:
-    """Raises OSError, or UnicodeError for a host's name that is none."""
+    """Connects to discovery. Raises OSError, or UnicodeError if the host name is invalid."""
     loop = asyncio.get_running_loop()
     _, channel = await loop.create_connection(lambda: Channel(on_data), *address)
     return channel
--- a/anisespool/discovery/deadline.py
+++ b/anisespool/discovery/deadline.py
@@ -1,57 +1,61 @@
-"""The one deadline for a fresh list. No socket, no clock here: times are the caller's monotonic seconds.
-
-A change that discovery has counts as known to a sidecar TOLD_S after discovery had it and could be reached,
-whatever failed meanwhile, and MOVED_TOLD_S after SIGHUP named another address. So a deadline starts with the
-event after which the list may be out of date, and every timeout, pause and spread before the next whole line
-is cut to it (`clock.py`). What a failed call does to it depends on what the call showed of discovery.
+"""The deadline by which an up-to-date list must be received from discovery. No I/O and no clock: times are
+monotonic seconds from the caller.
+
+A sidecar must apply a change within UPDATE_DEADLINE_S of the moment at which discovery has it and is
+reachable, whatever has failed meanwhile, and within ADDRESS_CHANGE_DEADLINE_S of a SIGHUP that changes
+discovery's address. The deadline starts with the event after which the list may be out of date. All
+time-outs, pauses and random delays before the next complete line are limited by it (`clock.py`). How a failed
+call moves the deadline depends on what the failure shows about discovery.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-TOLD_S = 6.0  # by the operators' terms
-MOVED_TOLD_S = 4.0  # after SIGHUP
+UPDATE_DEADLINE_S = 6.0  # the operators' requirement
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # after SIGHUP
 
 
-class Failure(Enum):
-    """What a failed call showed."""
+class CallFailure(Enum):
+    """What a failed call shows about discovery."""
 
-    REFUSED = "discovery answered, but with no list: it could be reached, so its 6 s run on"
-    UNREACHABLE = "nobody took the call: the 6 s of what discovery has begin once it can be reached"
-    HUNG = "no answer, or not a whole one, in time: nobody knows whether discovery could be reached"
+    REFUSED = "discovery answered without a list: it is reachable, so the deadline continues to run"
+    UNREACHABLE = "no connection: the deadline starts anew once discovery is reachable"
+    HUNG = "no response, or an incomplete one, in time: whether discovery was reachable is unknown"
 
 
 class FreshListDeadline:
-    """`at_s`: by then a fresh list has to be in force."""
+    """`at_s` is the time by which an up-to-date list must be in use."""
 
     def __init__(self, now_s: float) -> None:
-        """A process starts with an old list."""
-        self.at_s = now_s + TOLD_S
-        self._fixed = False  # whether it holds though discovery cannot be reached
+        """The deadline runs from the start, as a process starts with an old list."""
+        self.at_s = now_s + UPDATE_DEADLINE_S
+        self._is_absolute = False  # whether it holds even if discovery is unreachable
 
-    def left_s(self, now_s: float) -> float:
-        """Negative once it has passed."""
+    def remaining_s(self, now_s: float) -> float:
+        """The time left; negative once the deadline has passed."""
         return self.at_s - now_s
 
-    def fresh(self, now_s: float) -> None:
-        """A whole line has come on the watch that stands. If it is the last one, the watch has fallen silent
-        by then, and what it misses counts at the deadline even where discovery cannot be reached."""
-        self.at_s, self._fixed = now_s + TOLD_S, True
-
-    def ended(self, now_s: float) -> None:
-        """A watch that was in order up to now has ended."""
-        self.at_s, self._fixed = now_s + TOLD_S, False
-
-    def moved(self, now_s: float) -> None:
-        """SIGHUP. A deadline that runs is not put off, be it that of an earlier move."""
-        moved_s = now_s + MOVED_TOLD_S
-        self.at_s = min(self.at_s, moved_s) if self.left_s(now_s) > 0 else moved_s
-        self._fixed = True
-
-    def call_failed(self, began_s: float, now_s: float, failure: Failure) -> None:
-        """Discovery may be reachable since the moment after a failed call began, at the earliest."""
-        if self._fixed and self.left_s(now_s) > 0:
+    def line_received(self, now_s: float) -> None:
+        """A complete line has been received on the current watch. If nothing follows, the watch has gone
+        silent, and the changes that it misses are due at the deadline even if discovery is unreachable."""
+        self.at_s, self._is_absolute = now_s + UPDATE_DEADLINE_S, True
+
+    def watch_ended(self, now_s: float) -> None:
+        """A watch that was working until now has ended."""
+        self.at_s, self._is_absolute = now_s + UPDATE_DEADLINE_S, False
+
+    def address_changed(self, now_s: float) -> None:
+        """SIGHUP has changed discovery's address. A deadline that is running is never extended, not even that
+        of an earlier address change."""
+        changed_deadline_s = now_s + ADDRESS_CHANGE_DEADLINE_S
+        self.at_s = min(self.at_s, changed_deadline_s) if self.remaining_s(now_s) > 0 else changed_deadline_s
+        self._is_absolute = True
+
+    def call_failed(self, began_s: float, now_s: float, failure: CallFailure) -> None:
+        """A call that began at `began_s` has failed. If it could not reach discovery, discovery may have
+        become reachable right after `began_s`, so the deadline runs from then."""
+        if self._is_absolute and self.remaining_s(now_s) > 0:
             return
-        if failure is Failure.UNREACHABLE or failure is Failure.HUNG and self.left_s(now_s) <= 0:
-            self.at_s, self._fixed = max(self.at_s, began_s + TOLD_S), False
+        if failure is CallFailure.UNREACHABLE or failure is CallFailure.HUNG and self.remaining_s(now_s) <= 0:
+            self.at_s, self._is_absolute = max(self.at_s, began_s + UPDATE_DEADLINE_S), False
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list: one long answer, a JSON object after the other, for as long as it lasts."""
+"""Keeps a watch on discovery's list: a streaming response with one JSON object after another."""
 
 from __future__ import annotations
 
@@ -8,124 +8,126 @@
 from contextlib import suppress
 from typing import Any, NamedTuple
 
-from anisespool.config import Address, MemberList, Names
-from anisespool.discovery.clock import LATE_S, SIGN_S, CallClock
-from anisespool.discovery.deadline import Failure
-from anisespool.discovery.stream import News, Stream
+from anisespool.config import Address, MemberList, NameIndex
+from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S, HEARTBEAT_SLACK_S, CallSchedule
+from anisespool.discovery.deadline import CallFailure
+from anisespool.discovery.stream import Stream, StreamUpdate
 from anisespool.errors import DiscoverySilent, UnreadableList
 from anisespool.log import fault, say
 from anisespool.telemetry import TELEMETRY
 
-RETIRE_S = 0.5  # for what discovery wrote to a watch before it was asked for the next one
-MOST_SHOWN = 200  # characters of what could not be read
+REPLACED_READ_S = 0.5  # how long a replaced watch is still read, for lines written before its replacement
+MAX_LOGGED_CHARS = 200  # of an entry that could not be parsed
 
 
-class Move(NamedTuple):
-    """Discovery is at another address from now on."""
+class AddressChange(NamedTuple):
+    """Discovery has a new address."""
 
     address: Address
-    asked_s: float  # when the platform asked for it, monotonic seconds: from then on its time runs
+    requested_s: float  # when the change was requested, in monotonic seconds; its deadline runs from then
 
 
 class Watch:
-    """Keeps the list up to date and hands each change on, in order.
+    """Keeps the list up to date and passes on each change, in order.
 
-    Of its streams at most one is held: the one that has brought a whole line, be it an empty one. Its lines
-    make the list until another has brought one. From then on it is read for RETIRE_S more, as its last lines
-    may lie unread: what they take out of use counts. The other streams are calls that have brought no line:
-    the first of them is kept beside a further call while it still brings bytes.
+    At most one stream is current: the last one that has received its first complete line, which may be empty.
+    The list follows its lines until another stream receives one. The replaced stream is read for
+    REPLACED_READ_S more, as its last lines may be unread; of these, only withdrawals of servers count. Other
+    streams are calls without a line yet. The oldest stays open beside another call while it receives data.
     """
 
     def __init__(
-        self, address: Address, names: Names, known: MemberList, fleet_size: int, ask_within_ns: int,
+        self, address: Address, names: NameIndex, known: MemberList, fleet_size: int, ask_within_ns: int,
         on_list: Callable[[MemberList], None], at_once: bool = False,
         on_raw: Callable[[dict[str, Any], MemberList], None] | None = None,
-        on_word: Callable[[], None] = lambda: None,
-        on_late: Callable[[MemberList], None] = lambda update: None,
+        on_message: Callable[[], None] = lambda: None,
+        on_late_update: Callable[[MemberList], None] = lambda update: None,
     ) -> None:  # fmt: skip
-        """`on_raw`: told of each object as discovery wrote it, after `on_list`. `on_word`: after whatever a
-        watch says, be it an empty line, once it has told its list: nothing else has changed until then.
-        `on_late`: told of the last lines of a stream that another has replaced."""
+        """`on_raw` is called with each object as received, after `on_list`. `on_message` is called after
+        every message of a watch that has delivered its list, even an empty line: the list is up to date then.
+        `on_late_update` is called with the last lines of a replaced stream."""
         self.address, self._names, self._on_list, self._on_raw = address, names, on_list, on_raw
-        self._on_word, self._on_late = on_word, on_late
+        self._on_message, self._on_late_update = on_message, on_late_update
         self.revision = known.revision  # of the list in use
-        self._clock = CallClock(fleet_size, ask_within_ns / 1e9, time.monotonic())
-        self.start_delay_s = self._clock.start_delay(bool(known.members) and not at_once)
-        self.heard = asyncio.Event()  # a list, or a change of one
-        self.failed = asyncio.Event()  # a call
+        self._schedule = CallSchedule(fleet_size, ask_within_ns / 1e9, time.monotonic())
+        self.start_delay_s = self._schedule.start_delay(bool(known.members) and not at_once)
+        self.list_received = asyncio.Event()  # a list or a change of it
+        self.call_failed = asyncio.Event()
         self.make_room: Callable[[], object] = lambda: None  # frees a descriptor for the next call
-        self._moved = asyncio.Event()
-        self._changed = asyncio.Event()  # something that the course of calls depends on
-        self._held: Stream | None = None
-        self._retired: Stream | None = None
+        self._address_changed = asyncio.Event()
+        self._changed = asyncio.Event()  # a stream or the address has changed: check what to do next
+        self._current: Stream | None = None
+        self._replaced: Stream | None = None
         self._calls: list[Stream] = []
 
-    def list_is_old(self) -> bool:
-        """No watch in order stands at the address that was named last: what changes now is not told here,
-        whatever the calls for another watch have shown."""
-        held = self._held
-        if held is None or held.ended or held.address != self.address:
+    def is_list_stale(self) -> bool:
+        """Whether changes may be missed, as no watch works at the current address; calls do not count."""
+        current = self._current
+        if current is None or current.ended or current.address != self.address:
             return True
-        return self._clock.silent_for(time.monotonic()) > SIGN_S + LATE_S
+        return self._schedule.silent_for(time.monotonic()) > HEARTBEAT_INTERVAL_S + HEARTBEAT_SLACK_S
 
-    def look(self) -> None:
-        """Take up what discovery has written and this process has not read yet."""
-        for stream in (self._held, self._retired, *self._calls):
+    def read_pending(self) -> None:
+        """Reads and applies data from discovery that has arrived without waiting for the event loop."""
+        for stream in (self._current, self._replaced, *self._calls):
             if stream:
-                stream.look()
+                stream.read_pending()
 
-    async def follow(self, moves: asyncio.Queue[Move]) -> None:
-        """Watch for good, each time at the address that was named last. Whatever ends one part of it ends the
-        whole, for the caller to begin anew."""
-        async with asyncio.TaskGroup() as parts:
-            parts.create_task(self.run(self.start_delay_s))
-            parts.create_task(self._follow_moves(moves))
+    async def follow(self, changes: asyncio.Queue[AddressChange]) -> None:
+        """Watches until cancelled, always at the latest address. An error in either task ends both, so that
+        the caller can start again."""
+        async with asyncio.TaskGroup() as tasks:
+            tasks.create_task(self.run(self.start_delay_s))
+            tasks.create_task(self._follow_address_changes(changes))
 
-    async def _follow_moves(self, moves: asyncio.Queue[Move]) -> None:
+    async def _follow_address_changes(self, changes: asyncio.Queue[AddressChange]) -> None:
         while True:
-            move = await moves.get()
-            self.address = move.address
-            say("discovery", "moves to {}:{}".format(*self.address))
-            self._clock.moved(move.asked_s)
-            self._moved.set()
+            change = await changes.get()
+            self.address = change.address
+            say("discovery", "address changed to {}:{}".format(*self.address))
+            self._schedule.address_changed(change.requested_s)
+            self._address_changed.set()
             self._changed.set()
 
     async def run(self, delay_s: float) -> None:
-        """Call, hold the watch, call again. A silent watch stays until a new one has spoken: it may only be
-        late. What it misses counts as told meanwhile, and so does what a failed call would have brought."""
+        """Calls discovery, keeps the watch, and calls again when it ends. A silent watch is kept until a new
+        one has received a line, as it may only be late. The deadline keeps running meanwhile, for the changes
+        that a silent watch or a failed call misses."""
         try:
-            await self._pause(self._clock.cut(delay_s, time.monotonic()))
+            await self._pause(self._schedule.limit_to_deadline(delay_s, time.monotonic()))
             while True:
-                if self._moved.is_set():
-                    self._moved.clear()
+                if self._address_changed.is_set():
+                    self._address_changed.clear()
                     self._close_calls()
-                    await self._pause(self._clock.move_delay(time.monotonic()))
+                    await self._pause(self._schedule.address_change_delay(time.monotonic()))
                     continue
                 call = self._open_call()
-                failure = await self._settled(call)
+                failure = await self._await_result(call)
                 if failure:
-                    self.failed.set()
+                    self.call_failed.set()
                     TELEMETRY.count(f"discovery calls {failure.name.lower()}")
-                    if self._held and self._held.ended:
-                        self._held = None
-                    await self._pause(self._clock.failed(call.began_s, time.monotonic(), failure))
-                await self._until_due()
+                    if self._current and self._current.ended:
+                        self._current = None
+                    await self._pause(self._schedule.call_failed(call.began_s, time.monotonic(), failure))
+                await self._await_renewal()
         finally:
             self._close_calls()
-            for stream in (self._held, self._retired):
+            for stream in (self._current, self._replaced):
                 if stream:
                     stream.close()
-            self._held = self._retired = None
+            self._current = self._replaced = None
 
     def _open_call(self) -> Stream:
         now_s = time.monotonic()
         TELEMETRY.count("discovery calls")
         first, others = self._calls[:1], self._calls[1:]
-        stalled = [call for call in first if now_s > call.last_byte_s + SIGN_S + LATE_S]
+        stalled = [c for c in first if now_s > c.last_byte_s + HEARTBEAT_INTERVAL_S + HEARTBEAT_SLACK_S]
         for call in others + stalled:
             call.close()
         self._calls = [call for call in first if not call.ended and call not in stalled]
-        stream = Stream(self.address, self.revision, self.came, self._changed.set, lambda: self.make_room())
+        stream = Stream(
+            self.address, self.revision, self._on_update, self._changed.set, lambda: self.make_room()
+        )
         self._calls.append(stream)
         return stream
 
@@ -134,113 +136,115 @@
             call.close()
         self._calls.clear()
 
-    async def _settled(self, call: Stream) -> Failure | None:
-        """How the call has failed, or None: some call has brought a whole line, or a move made it moot."""
-        while call in self._calls and not self._moved.is_set():
+    async def _await_result(self, call: Stream) -> CallFailure | None:
+        """How the call has failed. None if any call has received a complete line, or the address has
+        changed."""
+        while call in self._calls and not self._address_changed.is_set():
             now_s = time.monotonic()
             if call.ended:
                 self._calls.remove(call)
                 return call.failure
-            if call.head_s is not None:
-                due_s = self._clock.line_due_at(call.head_s)
+            if call.head_received_s is not None:
+                due_s = self._schedule.line_due_at(call.head_received_s)
             else:
-                due_s = self._clock.head_due_at(call.began_s)
+                due_s = self._schedule.head_due_at(call.began_s)
             if now_s >= due_s:
-                if call.head_s is None:
+                if call.head_received_s is None:
                     call.close()
                     self._calls.remove(call)
-                fault("discovery", DiscoverySilent("no answer to a call in time"))
-                return Failure.HUNG
-            await self._change(due_s - now_s)
+                fault("discovery", DiscoverySilent("no response to a call in time"))
+                return CallFailure.HUNG
+            await self._await_change(due_s - now_s)
         return None
 
-    async def _until_due(self) -> None:
-        """Until the watch has ended, or another is due in its place."""
-        while self._held and self._held.address == self.address and not self._moved.is_set():
+    async def _await_renewal(self) -> None:
+        """Waits until the watch has ended or is due to be renewed."""
+        while self._current and self._current.address == self.address and not self._address_changed.is_set():
             now_s = time.monotonic()
-            if self._held.ended:
-                say("discovery", f"the watch at {self._held.place} ended")
-                self._held = None
-                await self._pause(self._clock.ended(now_s))
+            if self._current.ended:
+                say("discovery", f"watch at {self._current.address_text} ended")
+                self._current = None
+                await self._pause(self._schedule.watch_ended(now_s))
                 return
-            if now_s >= self._clock.renewal_at():
-                silent = f"the watch has been silent for {self._clock.silent_for(now_s):.1f} s"
-                fault("discovery", DiscoverySilent(f"{silent}, calling anew"))
+            if now_s >= self._schedule.renewal_at():
+                silent = f"the watch has been silent for {self._schedule.silent_for(now_s):.1f} s"
+                fault("discovery", DiscoverySilent(f"{silent}; opening a new one"))
                 return
-            await self._change(self._clock.renewal_at() - now_s)
+            await self._await_change(self._schedule.renewal_at() - now_s)
 
-    async def _change(self, timeout_s: float) -> None:
-        """Until something has changed since the caller looked, or the time is over."""
+    async def _await_change(self, timeout_s: float) -> None:
+        """Waits for a change of state after the caller's last check, or for the time-out."""
         self._changed.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._changed.wait()
 
     async def _pause(self, delay_s: float) -> None:
-        """A move ends it: the new address has been told nothing yet."""
+        """Waits for the delay, or until the address changes, as the new one has to be called soon."""
         with suppress(TimeoutError):
             async with asyncio.timeout(delay_s):
-                await self._moved.wait()
-
-    def came(self, stream: Stream, news: News) -> None:
-        """Of a stream's body. From its first whole line on its lines count, those of the one before no more.
-        A watch with a call in its place has been silent for too long: its lines count, but not as life."""
-        if stream is self._retired:
-            self._take_late(stream, news)
-        if stream is not self._held and stream not in self._calls:
+                await self._address_changed.wait()
+
+    def _on_update(self, stream: Stream, update: StreamUpdate) -> None:
+        """Handles data of a stream. Its first complete line makes the stream current and replaces the one
+        before. While a call is open to renew a silent watch, lines of that watch are applied but do not count
+        as heartbeats."""
+        if stream is self._replaced:
+            self._apply_late(stream, update)
+        if stream is not self._current and stream not in self._calls:
             return  # closed
-        for why in news.skipped:
-            fault("discovery", UnreadableList(f"a line was skipped: {why}"[:MOST_SHOWN]))
-        if news.alive and stream is not self._held:
-            self._hold(stream)
-        if news.alive and not self._calls and stream.address == self.address:
-            self._clock.heard(time.monotonic())
-        for raw in news.objects:
-            self._take(raw, stream)
-            stream.has_told = True
-        if stream.has_told:
-            self._on_word()
-
-    def _hold(self, stream: Stream) -> None:
-        if self._held:
-            self._retire(self._held)
+        for why in update.skipped:
+            fault("discovery", UnreadableList(f"line skipped: {why}"[:MAX_LOGGED_CHARS]))
+        if update.has_message and stream is not self._current:
+            self._make_current(stream)
+        if update.has_message and not self._calls and stream.address == self.address:
+            self._schedule.line_received(time.monotonic())
+        for raw in update.objects:
+            self._apply(raw, stream)
+            stream.has_delivered = True
+        if stream.has_delivered:
+            self._on_message()
+
+    def _make_current(self, stream: Stream) -> None:
+        if self._current:
+            self._keep_replaced(self._current)
         self._calls.remove(stream)
         self._close_calls()
-        self._held = stream
-        say("discovery", f"a watch at {stream.place} stands, asked from revision {stream.since} on")
+        self._current = stream
+        say("discovery", f"watch open at {stream.address_text}, requested from revision {stream.since} on")
         self._changed.set()
 
-    def _retire(self, stream: Stream) -> None:
-        if self._retired:
-            self._retired.close()
-        self._retired = stream
-        asyncio.get_running_loop().call_later(RETIRE_S, stream.close)
+    def _keep_replaced(self, stream: Stream) -> None:
+        if self._replaced:
+            self._replaced.close()
+        self._replaced = stream
+        asyncio.get_running_loop().call_later(REPLACED_READ_S, stream.close)
 
-    def _take_late(self, stream: Stream, news: News) -> None:
-        for raw in news.objects:
+    def _apply_late(self, stream: Stream, update: StreamUpdate) -> None:
+        for raw in update.objects:
             with suppress(ValueError):
-                self._on_late(self._names.readable_changes(raw)._replace(source=stream.place))
+                self._on_late_update(self._names.valid_changes(raw)._replace(source=stream.address_text))
 
-    def _take(self, raw: dict[str, Any], stream: Stream) -> None:
+    def _apply(self, raw: dict[str, Any], stream: Stream) -> None:
         try:
-            update = self._names.member_list(raw)._replace(source=stream.place)
+            update = self._names.member_list(raw)._replace(source=stream.address_text)
         except ValueError as error:
-            # One line that nobody can read must not end the watch, nor hide those behind it.
-            fault("discovery", UnreadableList(f"a line was skipped: {error}"[:MOST_SHOWN]))
-            self._take_readable(raw, stream)
+            # One invalid line must not end the watch or hide the lines after it.
+            fault("discovery", UnreadableList(f"line skipped: {error}"[:MAX_LOGGED_CHARS]))
+            self._apply_valid_entries(raw, stream)
             return
         if stream.since <= update.revision < self.revision:
-            return  # Written before the last words of the watch before it, it would undo them
+            return  # older than the last lines of the previous watch, which it would revert
         self._on_list(update)
-        self.revision = update.revision  # only now: a fault on the way must not lose the change
+        self.revision = update.revision  # after `on_list`: if that fails, the change is requested again
         if self._on_raw:
             self._on_raw(raw, update)
-        self.heard.set()
+        self.list_received.set()
 
-    def _take_readable(self, raw: dict[str, Any], stream: Stream) -> None:
-        """What can be read of an object counts as known, such as a server that drains. The revision stays, so
-        that the next call asks for the rest anew."""
+    def _apply_valid_entries(self, raw: dict[str, Any], stream: Stream) -> None:
+        """Applies the valid entries of an object, such as a server that drains. The revision is unchanged, so
+        that the next call requests the others again."""
         with suppress(ValueError):
-            update = self._names.readable_changes(raw)._replace(source=stream.place)
+            update = self._names.valid_changes(raw)._replace(source=stream.address_text)
             if not stream.since <= update.revision < self.revision:
                 self._on_list(update)
--- a/anisespool/endpoints/attempt.py
+++ b/anisespool/endpoints/attempt.py
@@ -1,4 +1,5 @@
-"""One try of a request at one endpoint. Its one status never says 'not run' of what may have run."""
+"""One attempt of a request at one endpoint. Its final status claims that the request did not run there only
+where that is certain."""
 
 from __future__ import annotations
 
@@ -14,91 +15,98 @@
 from shuntlead.interface import Status
 
 
-class Carrier(Protocol):
-    """The connection of an attempt."""
+class AttemptConnection(Protocol):
+    """What an attempt uses of its connection."""
 
     @property
-    def unwritten(self) -> bool: ...
+    def has_unsent_data(self) -> bool: ...
 
-    def suspect(self, since_ns: int) -> None: ...
+    def close_idle_if_silent(self, since_ns: int) -> None: ...
 
     def discard(self) -> None: ...
 
 
-def _nothing(attempt: Attempt) -> None:
+def _ignore(attempt: Attempt) -> None:
     pass
 
 
 class Attempt:
-    """One try of a request at one endpoint, from the Send until its one status."""
+    """One attempt of a request at one endpoint, from the decision to send it until its final status. Times
+    are in monotonic nanoseconds."""
 
-    __slots__ = ("_end_ns", "_timer", "begun_ns", "connection", "counts", "deadline_ns", "endpoint", "flow",
-                 "load", "may_start", "number", "on_begin", "on_body", "on_end", "request", "request_id",
-                 "response", "started_ns", "status")  # fmt: skip
+    __slots__ = ("_end_ns", "_timer", "connection", "counts", "deadline_ns", "endpoint", "flow", "load",
+                 "may_start", "number", "on_upload", "on_end", "on_response_start", "request", "request_id",
+                 "response", "response_started_ns", "started_ns", "status")  # fmt: skip
 
     def __init__(self, request_id: int, number: int, endpoint: int, request: http1.Request, deadline_ns: int,
-                 on_end: Callable[[Attempt], None], on_begin: Callable[[Attempt], None] = _nothing,
-                 on_body: Callable[[Attempt], None] = _nothing,
+                 on_end: Callable[[Attempt], None], on_response_start: Callable[[Attempt], None] = _ignore,
+                 on_upload: Callable[[Attempt], None] = _ignore,
                  may_start: Callable[[Attempt], bool] = lambda a: a.status is None) -> None:  # fmt: skip
-        """`on_begin`: a long answer begins, see `flow`. `on_body`: of a long body the first bytes have gone,
-        and then the last; see `started_ns`. `may_start`: asked once its connection is up; where the client
-        has left meanwhile it ends the attempt."""
+        """`on_end` is called once, with the final status. `on_response_start` is called when a streamed
+        response begins; its body is in `flow`. `on_upload` is called when the upload of a streamed request
+        body starts and when it has finished (`started_ns` tells which). `may_start` is called once the
+        connection is up and returns whether to send the request; if the client has disconnected, it ends the
+        attempt."""
         self.request_id, self.number, self.endpoint = request_id, number, endpoint
         self.request, self.deadline_ns, self.on_end = request, deadline_ns, on_end
-        self.on_begin, self.on_body, self.may_start = on_begin, on_body, may_start
-        self.started_ns = time.monotonic_ns()  # with a long body, when its last byte went; 0: not yet
-        self.begun_ns = 0  # when the first bytes of a long answer came
-        self.flow: Flow | None = None  # the body of a long answer
+        self.on_response_start, self.on_upload, self.may_start = on_response_start, on_upload, may_start
+        self.started_ns = time.monotonic_ns()  # after an upload, when its last byte was sent; 0 during it
+        self.response_started_ns = 0  # when a streamed response began; 0: it has not
+        self.flow: Flow | None = None  # the body of a streamed response
         self.status: Status | None = None
         self.response: http1.Response | None = None
         self.load: tuple[float, ...] = ()
-        self.connection: Carrier | None = None
-        self.counts: Counter[str] | None = None  # of bad ends, where it was sent
-        self._end_ns: int | None = None  # monotonic: the process ends then
+        self.connection: AttemptConnection | None = None
+        self.counts: Counter[str] | None = None  # the counters of the endpoint's pool
+        self._end_ns: int | None = None  # when the process exits
         self._arm()
 
     def _arm(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_at(self.deadline_ns / 1e9, self.give_up, Status.TIMEOUT)
+        self._timer = loop.call_at(self.deadline_ns / 1e9, self.abort, Status.TIMEOUT)
 
-    def cap(self, end_ns: int) -> None:
-        """The process ends at `end_ns`, monotonic: no later deadline holds. A long answer that has begun goes
-        on for as long as it makes progress."""
+    def limit_deadline(self, end_ns: int) -> None:
+        """Limits the deadline to `end_ns`, when the process exits. A streamed response that has begun has no
+        deadline: it continues for as long as it makes progress."""
         self._end_ns = end_ns
         if self.status is None and self.started_ns and not self.flow and self.deadline_ns > end_ns:
             self.deadline_ns = end_ns
             self._timer.cancel()
             self._arm()
 
-    def body_begins(self) -> None:
-        """The time for an answer starts with the body's last byte."""
+    def upload_started(self) -> None:
+        """Suspends the deadline: the time for the response starts with the last byte of the body."""
         self._timer.cancel()
-        self.deadline_ns -= time.monotonic_ns()  # what it will have then
+        self.deadline_ns -= time.monotonic_ns()  # the remaining time, until the upload has finished
         self.started_ns = 0
-        self.on_body(self)
+        self.on_upload(self)
 
-    def body_ends(self) -> None:
+    def upload_finished(self) -> None:
         self.started_ns = time.monotonic_ns()
         self.deadline_ns += self.started_ns
         if self._end_ns is not None:
             self.deadline_ns = min(self.deadline_ns, self._end_ns)
-        if not self.flow:  # else the answer has begun before it was asked for
+        if not self.flow:  # no deadline if the response began before the upload had finished
             self._arm()
-        self.on_body(self)
+        self.on_upload(self)
 
-    def begin(self, flow: Flow) -> None:
-        """From here on lack of progress ends it, and no deadline."""
+    def start_response(self, flow: Flow) -> None:
+        """A streamed response begins. From here on only a stall ends the attempt, not its deadline."""
         self._timer.cancel()
-        self.begun_ns, self.flow = time.monotonic_ns(), flow
-        self.on_begin(self)
+        self.response_started_ns, self.flow = time.monotonic_ns(), flow
+        self.on_response_start(self)
 
     @property
-    def took_ns(self) -> int:
-        """Until the answer, or until its first bytes if it is long."""
-        return max(0, (self.begun_ns or time.monotonic_ns()) - self.started_ns) if self.started_ns else 0
+    def latency_ns(self) -> int:
+        """Time until the response, or until the first bytes of a streamed one; 0 during an upload."""
+        return (
+            max(0, (self.response_started_ns or time.monotonic_ns()) - self.started_ns)
+            if self.started_ns
+            else 0
+        )
 
     def end(self, status: Status, response: http1.Response | None = None) -> None:
-        """The first end is the only one."""
+        """Sets the final status and reports it. Any further call has no effect."""
         if self.status is None:
             self.status, self.response = status, response
             TELEMETRY.count(f"attempts {status.name.lower()}")
@@ -107,14 +115,15 @@
             self._timer.cancel()
             self.on_end(self)
 
-    def give_up(self, status: Status) -> None:
-        """Stop waiting. What never had a connection has surely not run, whatever made us stop."""
+    def abort(self, status: Status) -> None:
+        """Aborts the attempt with `status`. A time-out before the request was wholly sent becomes
+        CONNECT_FAILED, as the request cannot have run."""
         if self.status is not None:
             return
         connection, self.connection = self.connection, None
         if connection and status is Status.TIMEOUT and self.started_ns and not self.flow:
-            connection.suspect(self.started_ns)
-        unsent = connection is None or connection.unwritten
+            connection.close_idle_if_silent(self.started_ns)
+        unsent = connection is None or connection.has_unsent_data
         if connection:
             connection.discard()
         self.end(Status.CONNECT_FAILED if unsent and status is Status.TIMEOUT else status)
--- a/anisespool/endpoints/connection.py
+++ b/anisespool/endpoints/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, one attempt at a time. Nothing here sends anything twice."""
+"""An HTTP/1.1 connection to an endpoint. It carries one attempt at a time and never resends a request."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 from anisespool.socket_state import has_events, unacknowledged
 from shuntlead.interface import Status
 
-HOLD_S = 0.05  # for an answer of no told length to end: a short one can still be repeated, a long one waits
+BUFFER_TIMEOUT_S = 0.05  # a response of unknown length is streamed after that; until then it can be retried
 
 
-class Owner(Protocol):
-    """Who counts the connections and takes them back."""
+class ConnectionOwner(Protocol):
+    """Counts the open connections and takes back those that are free for another request."""
 
-    columns: tuple[str, ...]
+    report_columns: tuple[str, ...]
     connections: set[Connection]
 
     def release(self, connection: Connection, pool: Pool) -> None: ...
 
-    def log_broken(self, text: str) -> None: ...
+    def log_failure(self, text: str) -> None: ...
 
 
 class Connection(asyncio.BufferedProtocol):
-    def __init__(self, owner: Owner, pool: Pool) -> None:
+    def __init__(self, owner: ConnectionOwner, pool: Pool) -> None:
         self._owner, self._pool = owner, pool
         self._attempt: Attempt | None = None
-        self._parser: http1.ResponseParser | None = None  # of the answer that is waited for
+        self._parser: http1.ResponseParser | None = None  # of the response to the current attempt
         self._transport: asyncio.Transport | None = None
-        self._input = select.poll()
-        self._unflushed = False  # something written has not left for the kernel
-        self._upload: Flow | None = None  # the rest of the request's body
-        self._progress_ns = 0  # of a long body, either way
-        self._left = 0  # bytes unflushed at the last look
-        self.idle_since = 0.0
-        self._requests = self._bytes = 0  # begun on it; of the present answer
+        self._poll = select.poll()
+        self._unflushed = False  # the transport still buffers data that the kernel has not accepted
+        self._upload: Flow | None = None  # the request body while it is streamed
+        self._progress_ns = 0  # last progress of a streamed body in either direction
+        self._buffered_bytes = 0  # size of the transport's write buffer at the last stall check
+        self.idle_since = 0.0  # monotonic seconds
+        self._request_count = self._response_bytes = 0  # on this connection; of the current response
 
     @property
-    def unwritten(self) -> bool:
-        """Part of the request has not left for the kernel: it can't have run."""
+    def has_unsent_data(self) -> bool:
+        """Whether part of the request has not been handed to the kernel, so that it cannot have run."""
         return self._unflushed or self._upload is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # With no room in the buffer, pause and resume tell exactly whether anything is left in it.
+        # With a limit of 0, pause_writing and resume_writing tell exactly whether the buffer is empty.
         transport.set_write_buffer_limits(high=0)
-        self._input.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        self._hold()
+        self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self._register()
 
     def pause_writing(self) -> None:
         self._unflushed = True
@@ -66,16 +66,15 @@
         if self._upload:
             self._upload.go()
 
-    def fresh(self) -> bool:
-        """Whether a request may be written to it. An idle connection may have been closed by the endpoint a
-        moment ago, with the news still unread in the kernel: a request would end as a reset, which proves
-        nothing."""
+    def is_usable(self) -> bool:
+        """Whether a request may be written. The endpoint may have closed an idle connection without the event
+        loop having read it yet; a request sent then ends in a reset, which leaves open whether it ran."""
         assert self._transport
-        return not self._transport.is_closing() and not has_events(self._input)
+        return not self._transport.is_closing() and not has_events(self._poll)
 
-    def _is_taken(self) -> bool:
-        """The endpoint's kernel has all that was written. Behind bytes that it has not, as the endpoint has
-        answered early, a request would begin only when it reads on, even if it drains by then."""
+    def _is_acknowledged(self) -> bool:
+        """Whether the endpoint's kernel has acknowledged all data. If the endpoint answered before it had
+        read the request, the next one would wait behind it, and might start after a drain has begun."""
         assert self._transport
         return not unacknowledged(self._transport.get_extra_info("socket").fileno())
 
@@ -83,22 +82,22 @@
         assert self._transport
         self._attempt, attempt.connection = attempt, self
         self._parser = http1.ResponseParser(
-            on_flow=self._long_answer, is_head_response=attempt.request.method == b"HEAD"
+            on_flow=self._start_streaming, is_head_response=attempt.request.method == b"HEAD"
         )
-        self._requests, self._bytes = self._requests + 1, 0
+        self._request_count, self._response_bytes = self._request_count + 1, 0
         self._transport.write(data)
-        # A write that fails at once leaves nothing in the buffer: the closing transport is what tells.
+        # A write that fails at once leaves the buffer empty, but the transport is closing then.
         self._unflushed = self._unflushed or self._transport.is_closing()
         if attempt.request.flow:
             self._progress_ns = time.monotonic_ns()
             self._upload = attempt.request.flow
-            attempt.body_begins()
+            attempt.upload_started()
             self._upload.attach(self)
 
-    # The request's long body, on its way here -----------------------------------------------------
+    # The streamed request body, as a sink of its Flow -----------------------------------------------
 
     def flow_data(self, data: bytes) -> None:
-        """As for Outlet.flow_data."""
+        """Part of the request body, sent as a chunk if the length is not known."""
         if self._upload and self._transport and not self._transport.is_closing():
             self._transport.write(data if self._upload.length is not None else http1.encode_chunk(data))
             if self._unflushed:
@@ -109,131 +108,132 @@
         if upload and upload.length is None and self._transport:
             self._transport.write(http1.LAST_CHUNK)
         if upload and self._attempt:
-            self._attempt.body_ends()
+            self._attempt.upload_finished()
 
     def flow_broken(self) -> None:
-        """The client's fault: whoever reads it ends the request."""
+        """Nothing to do: the reader of the client connection ends the request."""
 
-    # The answer -----------------------------------------------------------------------------------
+    # The response -----------------------------------------------------------------------------------
 
-    def _long_answer(self) -> Flow:
+    def _start_streaming(self) -> Flow:
         assert self._parser and self._transport and self._attempt
         transport = self._transport
-        flow = Flow(self._parser.length, transport.pause_reading, self._read_on)
-        self._attempt.begin(flow)
+        flow = Flow(self._parser.length, transport.pause_reading, self._resume_reading)
+        self._attempt.start_response(flow)
         return flow
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         self._progress_ns = time.monotonic_ns()
         if self._transport and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _hold_no_longer(self, parser: http1.ResponseParser) -> None:
+    def _stop_buffering(self, parser: http1.ResponseParser) -> None:
         if parser is self._parser and self._attempt:
             parser.start_streaming()
 
     def is_stalled(self, before_ns: int) -> bool:
-        """A long body has made no progress since then, and not because its other side holds it."""
+        """Whether a streamed body has made no progress since `before_ns`. A response that is paused because
+        the client does not read it is not stalled."""
         flow = self._attempt.flow if self._attempt else None
         if self._attempt is None or self._transport is None or not (flow or self._upload):
             return False
-        left, before = self._transport.get_write_buffer_size(), self._left
-        self._left = left
-        if flow and flow.paused or left != before or self._upload and not left:
+        buffered, previous = self._transport.get_write_buffer_size(), self._buffered_bytes
+        self._buffered_bytes = buffered
+        if flow and flow.paused or buffered != previous or self._upload and not buffered:
             self._progress_ns = time.monotonic_ns()
         return self._progress_ns < before_ns
 
     def end_stalled(self) -> None:
         if self._attempt:
-            self._attempt.give_up(Status.TIMEOUT)
+            self._attempt.abort(Status.TIMEOUT)
 
-    def suspect(self, since_ns: int) -> None:
-        """A machine that vanished leaves its connections open. A request written to an idle one
-        would be lost to a time-out, or to a reset when the machine is back, and an unsafe one with it; a
-        new connection that does not come up proves that nothing ran."""
-        if self._pool.heard_ns < since_ns:
+    def close_idle_if_silent(self, since_ns: int) -> None:
+        """Closes the idle connections if the endpoint has sent nothing since `since_ns`. A failed host leaves
+        them open: a request written to one ends in a time-out, or in a reset once the host is back, and if
+        not idempotent cannot be retried. A new connection that fails proves that nothing ran."""
+        if self._pool.last_received_ns < since_ns:
             self._pool.close_idle()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self._pool.heard_ns = self._progress_ns = time.monotonic_ns()
+        self._pool.last_received_ns = self._progress_ns = time.monotonic_ns()
         if self._attempt is None:
-            self.discard()  # nobody asked
+            self.discard()  # unsolicited data
             return
-        self._bytes += nbytes
+        self._response_bytes += nbytes
         assert self._parser
         parser, had_head = self._parser, self._parser.status >= 200
         response = parser.feed(read_buffer[:nbytes])
         if parser is not self._parser:
-            return  # given up by whoever took the first bytes
+            return  # the attempt was aborted by a callback of the parser
         if response:
-            self._answered(response)
+            self._on_response(response)
         elif parser.broken:
             data = bytes(read_buffer[: min(nbytes, 60)])
-            self._owner.log_broken(f"{self._history()}: no answer as HTTP has it: {data!r}")
-            self._end(Status.CONNECT_FAILED if self.unwritten else Status.RESET)
+            self._owner.log_failure(f"{self._describe()}: invalid HTTP response: {data!r}")
+            self._end(Status.CONNECT_FAILED if self.has_unsent_data else Status.RESET)
         elif parser.status == 200 and not had_head and parser.length is None:
-            asyncio.get_running_loop().call_later(HOLD_S, self._hold_no_longer, parser)
+            asyncio.get_running_loop().call_later(BUFFER_TIMEOUT_S, self._stop_buffering, parser)
 
-    def _hold(self) -> None:
+    def _register(self) -> None:
         self._owner.connections.add(self)
-        self._pool.held += 1
+        self._pool.connection_count += 1
 
-    def _let_go(self) -> None:
+    def _unregister(self) -> None:
         if self in self._owner.connections:
             self._owner.connections.discard(self)
-            self._pool.held -= 1
+            self._pool.connection_count -= 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._let_go()
+        self._unregister()
         if self in self._pool.idle:
             self._pool.idle.remove(self)
         if self._attempt is None or self._parser is None:
             return
         response = self._parser.end() if exc is None else None
         if response:
-            self._answered(response)
+            self._on_response(response)
         else:
-            self._owner.log_broken(f"{self._history()}: {exc or 'ended'}")
-            self._end(Status.CONNECT_FAILED if self.unwritten else Status.RESET)
+            self._owner.log_failure(f"{self._describe()}: {exc or 'ended'}")
+            self._end(Status.CONNECT_FAILED if self.has_unsent_data else Status.RESET)
 
-    def _history(self) -> str:
+    def _describe(self) -> str:
         assert self._attempt
         took_ms = (time.monotonic_ns() - (self._attempt.started_ns or time.monotonic_ns())) / 1e6
         return (
             f"{self._attempt.request.headers.get(b'x-trace-id', b'').decode('latin-1')} at endpoint "
-            f"{self._attempt.endpoint}, request {self._requests} on its connection, {took_ms:.0f} ms and "
-            f"{self._bytes} bytes of an answer after its start"
+            f"{self._attempt.endpoint}, request {self._request_count} on the connection, after {took_ms:.0f} "
+            f"ms and {self._response_bytes} response bytes"
         )
 
-    def _answered(self, response: http1.Response) -> None:
+    def _on_response(self, response: http1.Response) -> None:
         status = Status.ERROR
         if response.status == 200:
             status = Status.OK
         elif response.status in (503, 504) and response.headers.get(b"x-never-ran", b"").strip() == b"1":
             status = Status.FULL
-        reusable = response.keep_alive and not self.unwritten and self._is_taken()
+        reusable = response.keep_alive and not self.has_unsent_data and self._is_acknowledged()
         self._end(status, response, reusable)
 
     def _end(self, status: Status, response: http1.Response | None = None, reusable: bool = False) -> None:
         attempt = self._attempt
         assert attempt
-        self._forget_attempt()
+        self._detach_attempt()
         attempt.connection = None
         if response:
             attempt.load = self._pool.load = http1.parse_load_report(
-                response.headers.get(b"endpoint-load-metrics"), self._owner.columns
+                response.headers.get(b"endpoint-load-metrics"), self._owner.report_columns
             )
         if reusable:
-            self._read_on()
+            self._resume_reading()
             self._owner.release(self, self._pool)
         else:
             self.discard()
         attempt.end(status, response)
 
-    def _forget_attempt(self) -> None:
+    def _detach_attempt(self) -> None:
         self._attempt = None
         upload, self._upload = self._upload, None
         if upload:
@@ -243,8 +243,8 @@
             parser.close()
 
     def discard(self) -> None:
-        """Close without flushing: the rest of a given-up request must not leave."""
-        self._forget_attempt()
-        self._let_go()
+        """Closes without flushing, so that no more of an aborted request is sent."""
+        self._detach_attempt()
+        self._unregister()
         if self._transport:
             self._transport.abort()
--- a/anisespool/endpoints/endpoints.py
+++ b/anisespool/endpoints/endpoints.py
@@ -1,4 +1,4 @@
-"""All endpoints by the driver's numbers: which connection an attempt gets, and how many there are."""
+"""The connection pools of all endpoints: chooses a connection for each attempt and limits their number."""
 
 from __future__ import annotations
 
@@ -11,102 +11,112 @@
 from anisespool.config import Address
 from anisespool.endpoints.attempt import Attempt
 from anisespool.endpoints.connection import Connection
-from anisespool.endpoints.pool import REST_S, Idle, Pool
+from anisespool.endpoints.pool import REUSE_DELAY_S, Pool, PooledConnection
 from anisespool.errors.system import SystemFailure, classify, described, is_short_here
 from anisespool.log import fault, say
 from shuntlead.interface import Status
 
-FORWARDED = {b"x-trace-id": b"X-Trace-Id", b"idempotency-key": b"Idempotency-Key",
-             b"content-type": b"Content-Type"}  # fmt: skip
-IDLE_SHARE = 0.75  # of the settings' keepalive: past it the endpoint closes, and a request on it is a reset
-MAX_IDLE = 48  # idle connections kept to one endpoint
-SWEEP_S = 1.0
-QUIET_S = 0.5  # between two lines on broken connections
-SHORT_PAUSE_S = 0.02  # between two tries to connect while this machine has no descriptor, port or buffer left
-STALL_S = 10.0  # in the midst of a long body: peers may take seconds, but not for ever
+FORWARDED_HEADERS = {b"x-trace-id": b"X-Trace-Id", b"idempotency-key": b"Idempotency-Key",
+                     b"content-type": b"Content-Type"}  # fmt: skip
+# Share of the configured keep-alive after which idle connections are closed. The endpoint closes them at its
+# full keep-alive, and a request sent at that moment ends in a reset.
+KEEPALIVE_SHARE = 0.75
+MAX_IDLE_PER_ENDPOINT = 48  # connections
+SWEEP_S = 1.0  # interval of the checks for expired and stalled connections
+LOG_INTERVAL_S = 0.5  # minimum between two log lines on failed connections
+SHORTAGE_PAUSE_S = 0.02  # between attempts to connect while this host has no descriptor, port or buffer left
+STALL_S = 10.0  # without progress of a streamed body, before the attempt ends; pauses of seconds are normal
 
 
 class Endpoints:
     def __init__(
-        self, columns: tuple[str, ...], connect_timeout_ns: int, keepalive_ns: int, most: int
+        self,
+        report_columns: tuple[str, ...],
+        connect_timeout_ns: int,
+        keepalive_ns: int,
+        max_connections: int,
     ) -> None:
-        self.columns = columns
+        self.report_columns = report_columns
         self._connect_timeout_s = connect_timeout_ns / 1e9 or 1.0
-        self._idle_s = keepalive_ns / 1e9 * IDLE_SHARE
-        self._most = most
-        self._opening = 0
+        self._max_idle_s = keepalive_ns / 1e9 * KEEPALIVE_SHARE
+        self._max_connections = max_connections
+        self._opening = 0  # connections being established
         self._pools: dict[int, Pool] = {}
-        # Those with connections, or of which the log has to tell: what is done each second is done for these
-        # alone, few of a long list. Removed and replaced ones stay till their connections end.
-        self._used: dict[Pool, None] = {}
-        self._logged_at = self._made_room_at = -inf
-        self.make_room: Callable[[], object] = lambda: None  # frees a descriptor that is not a server's
+        # Pools with connections, or with counters not logged yet. Periodic work visits only these, a small
+        # part of a long list. Pools of removed endpoints stay here until their connections have ended.
+        self._active: dict[Pool, None] = {}
+        self._logged_at = self._shortage_handled_at = -inf
+        self.make_room: Callable[[], object] = lambda: None  # frees a descriptor in use by something else
         self._tasks: set[asyncio.Task[None]] = set()
         self.connections: set[Connection] = set()
 
     @property
     def busy(self) -> int:
-        """Connections that are not idle."""
-        return len(self.connections) - sum(len(pool.idle) for pool in self._used)
+        """The number of connections that carry an attempt."""
+        return len(self.connections) - sum(len(pool.idle) for pool in self._active)
 
-    def limit(self, most: int) -> None:
-        """Of those over it the idle ones go at once, those that have been so longest first."""
-        self._most = most
-        while len(self.connections) + self._opening > most and self._evict():
+    def limit(self, max_connections: int) -> None:
+        """Sets the maximum of connections. Idle ones over it are closed at once, the longest idle first."""
+        self._max_connections = max_connections
+        while len(self.connections) + self._opening > max_connections and self._evict():
             pass
 
     def log_traffic(self) -> None:
-        """One line, to be added up over the fleet: so endpoints go by the names that all sidecars know."""
+        """Logs one line of counters by endpoint name. Names are the same in all sidecars, unlike numbers, so
+        the lines can be added up over the fleet."""
         rows = []
-        for pool in self._used:
-            if pool.counts or pool.held:
-                done = f"{pool.counts['sends']}/{pool.counts['connects']}/{pool.held}"
+        for pool in self._active:
+            if pool.counts or pool.connection_count:
+                done = f"{pool.counts['sends']}/{pool.counts['connects']}/{pool.connection_count}"
                 bad = "+".join(f"{n}{s.name.lower()}" for s in Status if (n := pool.counts[s.name]))
                 load = ",".join(f"{value:.2g}" for value in pool.load)
                 rows.append(f"{pool.name} {done} {bad or '-'} {load or '-'}")
                 pool.counts.clear()
-        self._used = {pool: None for pool in self._used if pool.held or pool.waiting}
+        self._active = {pool: None for pool in self._active if pool.connection_count or pool.connecting}
         say("traffic", "; ".join(rows))
 
-    def log_broken(self, text: str) -> None:
+    def log_failure(self, text: str) -> None:
         if self._may_log():
             say("broken", text)
 
     def _may_log(self) -> bool:
         now = time.monotonic()
-        if now < self._logged_at + QUIET_S:
+        if now < self._logged_at + LOG_INTERVAL_S:
             return False
         self._logged_at = now
         return True
 
-    def update(self, number: int, name: str, address: Address, started_ns: int, open_to_new: bool) -> None:
+    def update(
+        self, number: int, name: str, address: Address, started_ns: int, accepts_requests: bool
+    ) -> None:
+        """Adds or changes an endpoint. `number` is its id in the balancer, `name` its id in discovery."""
         pool = self._pools.get(number)
         if pool and (pool.address, pool.started_ns) == (address, started_ns):
-            if open_to_new:
-                pool.open_to_new = True
-            elif pool.open_to_new:
+            if accepts_requests:
+                pool.accepts_requests = True
+            elif pool.accepts_requests:
                 pool.retire()
             return
-        # Connections of a process that is no more end as resets.
+        # The address or start time has changed, so connections to the old server process are useless.
         if pool:
             pool.retire()
-        self._pools[number] = Pool(name, address, started_ns, open_to_new)
+        self._pools[number] = Pool(name, address, started_ns, accepts_requests)
 
     def remove(self, number: int) -> None:
         if pool := self._pools.pop(number, None):
             pool.retire()
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt. It may end before this returns."""
+        """Starts an attempt. It may end before this returns."""
         pool = self._pools.get(attempt.endpoint)
-        if pool is None or not pool.open_to_new:  # rule 3, whatever was decided
+        if pool is None or not pool.accepts_requests:  # never send to a draining server, whatever was decided
             attempt.end(Status.MOOT)
             return
-        self._used[pool] = None
+        self._active[pool] = None
         attempt.counts = pool.counts
         pool.counts["sends"] += 1
-        is_full = len(self.connections) + self._opening >= self._most
-        if connection := pool.take(time.monotonic() - (0.0 if is_full else REST_S)):
+        is_full = len(self.connections) + self._opening >= self._max_connections
+        if connection := pool.acquire(time.monotonic() - (0.0 if is_full else REUSE_DELAY_S)):
             self._start(connection, pool, attempt)
             return
         if is_full and not self._evict():
@@ -114,42 +124,43 @@
             return
         self._opening += 1
         pool.counts["connects"] += 1
-        pool.waiting.add(attempt)
+        pool.connecting.add(attempt)
         task = asyncio.get_running_loop().create_task(self._open(pool, attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _open(self, pool: Pool, attempt: Attempt) -> None:
-        unreached = Status.CONNECT_FAILED
-        connection: Idle | None = None
+        failure_status = Status.CONNECT_FAILED
+        connection: PooledConnection | None = None
         try:
             connection = await self._connect(pool, attempt)
         except OSError as error:
-            if is_short_here(error):  # it says nothing of the server, but the request never ran there
-                unreached = Status.MOOT
-        except ValueError:  # a name or port that cannot be one
+            if is_short_here(error):  # the fault is in this host, not the server, and the request did not run
+                failure_status = Status.MOOT
+        except ValueError:  # invalid host name or port
             pass
         finally:
             self._opening -= 1
-            pool.waiting.discard(attempt)
-        # One lost while it came up has told its loss already, and would never end the attempt.
-        if connection is None or not connection.fresh():
+            pool.connecting.discard(attempt)
+        # A connection lost before the attempt is bound to it would never end the attempt.
+        if connection is None or not connection.is_usable():
             if connection:
                 connection.discard()
-            attempt.end(unreached)
+            attempt.end(failure_status)
         elif attempt.may_start(attempt):
             self._start(connection, pool, attempt)
-        else:  # given up meanwhile; the handshake is paid for
+        else:  # the attempt ended meanwhile; keep the new connection for others
             self.release(connection, pool)
 
-    async def _connect(self, pool: Pool, attempt: Attempt) -> Idle:
-        """A connection for this attempt, before the time to connect is over; else OSError. While this machine
-        has nothing left to connect with, one that has hardly rested will do, or there is another try."""
+    async def _connect(self, pool: Pool, attempt: Attempt) -> PooledConnection:
+        """Opens a connection for this attempt; raises OSError on failure or after the connect time-out. While
+        this host has no descriptor, port or buffer left, it retries, or takes an idle connection regardless
+        of REUSE_DELAY_S."""
         loop = asyncio.get_running_loop()
-        short: OSError | None = None
+        shortage: OSError | None = None
         try:
             async with asyncio.timeout(self._connect_timeout_s):
-                while short is None or attempt.status is None:
+                while shortage is None or attempt.status is None:
                     try:
                         _, connection = await loop.create_connection(
                             lambda: Connection(self, pool), *pool.address
@@ -157,50 +168,51 @@
                         return connection
                     except OSError as error:
                         if not is_short_here(error):
-                            short = None
+                            shortage = None
                             raise
-                        short = error
-                    if idle := pool.take(time.monotonic()):
+                        shortage = error
+                    if idle := pool.acquire(time.monotonic()):
                         return idle
-                    self._relieve(short)
-                    await asyncio.sleep(SHORT_PAUSE_S)
+                    self._handle_shortage(shortage)
+                    await asyncio.sleep(SHORTAGE_PAUSE_S)
         except TimeoutError:
-            if short is None:
-                if pool.heard_ns < attempt.started_ns:
-                    pool.close_idle()  # as for Connection.suspect
+            if shortage is None:
+                if pool.last_received_ns < attempt.started_ns:
+                    pool.close_idle()  # for the reason given at Connection.close_idle_if_silent
                 raise
-        assert short
-        raise short
+        assert shortage
+        raise shortage
 
-    def _relieve(self, short: OSError) -> None:
-        """This machine is short of something: one connection goes that is not needed now, and no more of them
-        for all attempts that wait together."""
+    def _handle_shortage(self, shortage: OSError) -> None:
+        """This host has run out of a resource: closes one idle connection, but not more than one per
+        SHORTAGE_PAUSE_S, however many attempts wait."""
         if self._may_log():
-            fault("broken", described(short))
+            fault("broken", described(shortage))
         now = time.monotonic()
-        if now >= self._made_room_at + SHORT_PAUSE_S:
-            self._made_room_at = now
-            if not self._evict() and classify(short) is SystemFailure.NO_RESOURCES:
+        if now >= self._shortage_handled_at + SHORTAGE_PAUSE_S:
+            self._shortage_handled_at = now
+            if not self._evict() and classify(shortage) is SystemFailure.NO_RESOURCES:
                 self.make_room()
 
-    def _start(self, connection: Idle, pool: Pool, attempt: Attempt) -> None:
-        """Write the request, unless its time is over: nobody would wait for the answer."""
+    def _start(self, connection: PooledConnection, pool: Pool, attempt: Attempt) -> None:
+        """Writes the request, unless its deadline has passed."""
         left_ms = (attempt.deadline_ns - time.monotonic_ns()) // 1_000_000
-        if left_ms < 1:  # its timer has not run yet, as this process stood still
+        if left_ms < 1:  # the process was stalled, and the timer of the deadline has not run yet
             self.release(connection, pool)
             attempt.end(Status.MOOT)
             return
         headers = {
             name: attempt.request.headers[key]
-            for key, name in FORWARDED.items()
+            for key, name in FORWARDED_HEADERS.items()
             if key in attempt.request.headers
         }
         headers[b"X-Expires-In-Ms"] = b"%d" % left_ms
         host = f"{pool.address.host}:{pool.address.port}".encode()
         connection.start(attempt, http1.encode_request(attempt.request, host, headers))
 
-    def release(self, connection: Idle, pool: Pool) -> None:
-        if pool.open_to_new and len(pool.idle) < MAX_IDLE and connection.fresh():
+    def release(self, connection: PooledConnection, pool: Pool) -> None:
+        """Keeps the connection for another request, or closes it."""
+        if pool.accepts_requests and len(pool.idle) < MAX_IDLE_PER_ENDPOINT and connection.is_usable():
             connection.idle_since = time.monotonic()
             pool.idle.append(connection)
         else:
@@ -211,19 +223,19 @@
             pool.close_idle()
 
     def _evict(self) -> bool:
-        """Make room for one more connection by closing the one that has been idle longest."""
-        pools = [p for p in self._used if p.idle]
+        """Closes the connection that has been idle longest. Returns False if none is idle."""
+        pools = [p for p in self._active if p.idle]
         if not pools:
             return False
         min(pools, key=lambda p: p.idle[0].idle_since).idle.pop(0).discard()
         return True
 
     async def sweep(self) -> None:
-        """Close idle connections well before the endpoint does, and those on which a long body stalls."""
+        """Periodically closes expired idle connections, and ends attempts whose streamed body has stalled."""
         while True:
             await asyncio.sleep(SWEEP_S)
-            oldest = time.monotonic() - self._idle_s
-            for pool in self._used:
+            oldest = time.monotonic() - self._max_idle_s
+            for pool in self._active:
                 while pool.idle and pool.idle[0].idle_since < oldest:
                     pool.idle.pop(0).discard()
             before_ns = time.monotonic_ns() - int(STALL_S * 1e9)
--- a/anisespool/endpoints/pool.py
+++ b/anisespool/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""What is known of one endpoint's address, and the connections to it that are idle."""
+"""The idle connections to one endpoint, and what is known of it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from anisespool.endpoints.attempt import Attempt
 from shuntlead.interface import Status
 
-REST_S = 0.03  # for an endpoint to have said all that it has to say to the request before
+REUSE_DELAY_S = 0.03  # idle time before reuse, in which surplus data of the last response would arrive
 
 
-class Idle(Protocol):
-    """A connection between two attempts."""
+class PooledConnection(Protocol):
+    """A connection that carries no attempt."""
 
-    idle_since: float
+    idle_since: float  # monotonic seconds
 
-    def fresh(self) -> bool: ...
+    def is_usable(self) -> bool: ...
 
     def start(self, attempt: Attempt, data: bytes) -> None: ...
 
@@ -25,24 +25,25 @@
 
 
 class Pool:
-    def __init__(self, name: str, address: Address, started_ns: int, open_to_new: bool) -> None:
+    def __init__(self, name: str, address: Address, started_ns: int, accepts_requests: bool) -> None:
         self.name, self.address = name, address
-        self.started_ns, self.open_to_new = started_ns, open_to_new
-        self.heard_ns = 0  # when anything last came from it
-        self.idle: list[Idle] = []  # the latest used last
-        self.waiting: set[Attempt] = set()  # for a connection of their own
-        self.counts: Counter[str] = Counter()  # since the last line of the log: sends, connects, bad ends
-        self.held = 0  # connections
-        self.load: tuple[float, ...] = ()  # as last reported
-
-    def take(self, rested_since: float) -> Idle | None:
-        """The latest used of the connections that are fit for another request. A second answer may
-        come some milliseconds late; on one taken at once it would be the answer to the next request. On one
-        that rests it ends the connection."""
+        self.started_ns, self.accepts_requests = started_ns, accepts_requests
+        self.last_received_ns = 0  # when the endpoint last sent any data, in monotonic nanoseconds
+        self.idle: list[PooledConnection] = []  # the most recently used last
+        self.connecting: set[Attempt] = set()  # attempts that wait for a new connection
+        self.counts: Counter[str] = Counter()  # sends, connects and failures since the last traffic log line
+        self.connection_count = 0  # open connections, idle or in use
+        self.load: tuple[float, ...] = ()  # the endpoint's last load report
+
+    def acquire(self, idle_before: float) -> PooledConnection | None:
+        """Takes the most recently used connection that is usable and has been idle since `idle_before` or
+        longer (monotonic seconds). A faulty endpoint may send a second response some milliseconds after the
+        first. On a connection reused at once it would pass for the response to the next request; on an idle
+        one it closes the connection."""
         for n in range(len(self.idle) - 1, -1, -1):
-            if self.idle[n].idle_since <= rested_since:
+            if self.idle[n].idle_since <= idle_before:
                 connection = self.idle.pop(n)
-                if connection.fresh():
+                if connection.is_usable():
                     return connection
                 connection.discard()
         return None
@@ -53,9 +54,10 @@
             connection.discard()
 
     def retire(self) -> None:
-        """Drained, gone or replaced. An attempt that waits for a connection would arrive after the
-        news; it has not been sent, so the module may place it anew."""
-        self.open_to_new = False
+        """The endpoint drains, or was removed or replaced: closes it to new requests. Attempts that wait for
+        a connection end with CONNECT_FAILED. They have not been sent, so the balancer can choose another
+        endpoint for them."""
+        self.accepts_requests = False
         self.close_idle()
-        for attempt in list(self.waiting):
+        for attempt in list(self.connecting):
             attempt.end(Status.CONNECT_FAILED)
--- a/anisespool/exchange.py
+++ b/anisespool/exchange.py
@@ -111,7 +111,7 @@
 
     def cap_attempt(self, attempt: Attempt) -> None:
         if self._end_ns is not None:
-            attempt.cap(self._end_ns - ANSWER_RESERVE_NS)
+            attempt.limit_deadline(self._end_ns - ANSWER_RESERVE_NS)
 
     def drop_backstop(self) -> None:
         if self._backstop:
@@ -140,5 +140,5 @@
         """Nobody waits: whatever the module made of it, nothing more is spent on this request."""
         exchange = self.get(request_id)
         for attempt in exchange.attempts if exchange else ():
-            attempt.give_up(Status.CANCELLED)
+            attempt.abort(Status.CANCELLED)
         self.forget(request_id)
--- a/anisespool/external_state.py
+++ b/anisespool/external_state.py
@@ -8,7 +8,7 @@
 
 from anisespool.log import say
 from anisespool.peers import Peers
-from anisespool.servers import Servers, some
+from anisespool.servers import Servers, abbreviate
 from anisespool.state.persisted_rows import LearnedRow, PinRow, Remembered, VerdictRow
 from anisespool.state.records import now_ms
 from shuntlead import interface as api
@@ -39,38 +39,42 @@
 
     def _tell(self, action: api.SendToPeer) -> None:
         if self.peers:
-            told = (s._replace(endpoint=self.servers.shared[s.endpoint]) for s in action.observations)
+            told = (s._replace(endpoint=self.servers.shared_ids[s.endpoint]) for s in action.observations)
             self.peers.tell(action.peer, action.pressure, tuple(told))
 
     def heard(self, message: api.PeerMessage) -> None:
-        known = self.servers.by_shared
+        known = self.servers.number_by_shared_id
         seen = tuple(
             s._replace(endpoint=known[s.endpoint]) for s in message.observations if s.endpoint in known
         )
         self._handle(message._replace(observations=seen))
 
-    def list_is_old(self) -> None:
+    def mark_list_stale(self) -> None:
         """Discovery has not been heard for a while."""
-        self.servers.list_is_old()
+        self.servers.mark_list_stale()
 
     def peer_list(
         self, sender: int, revision: int, low: int, high: int, is_up: Callable[[int], bool]
     ) -> None:
         """A peer's list, for the servers whose shared ids lie from low to high."""
         servers = self.servers
-        asked = {servers.ids[n]: shared for shared, n in servers.by_shared.items() if low <= shared <= high}
+        asked = {
+            servers.ids[n]: shared
+            for shared, n in servers.number_by_shared_id.items()
+            if low <= shared <= high
+        }
         standing = {server: is_up(shared) for server, shared in asked.items()}
-        changed = servers.peer_said(sender, revision, standing)
+        changed = servers.peer_reported(sender, revision, standing)
         if not changed:
             return
         self._refresh(changed)
         left = f"{len(servers.ready)} endpoints left, as peers' later lists say"
         say("hearsay", f"{left}: list {revision} of sidecar {sender} against {servers.revision} here changes "
-            f"{some(changed)}")  # fmt: skip
+            f"{abbreviate(changed)}")  # fmt: skip
 
     def peer_verdicts(self, sender: int, rows: Iterable[api.Ejection]) -> None:
         """What a peer holds ejected, by shared ids."""
-        known = self.servers.by_shared
+        known = self.servers.number_by_shared_id
         told = tuple(v._replace(endpoint=known[v.endpoint]) for v in rows if v.endpoint in known)
         self._handle(api.PeerEjections(sender, told))
 
@@ -79,7 +83,7 @@
         self._handle(api.PeerStarted(peer, observations))
 
     def _tell_verdicts(self, action: api.SendEjections) -> None:
-        shared = self.servers.shared
+        shared = self.servers.shared_ids
         rows = [v._replace(endpoint=shared[v.endpoint]) for v in action.ejections if v.endpoint in shared]
         self.on_verdicts(action.peer, rows)
 
--- a/anisespool/front/request_decoding.py
+++ b/anisespool/front/request_decoding.py
@@ -8,7 +8,7 @@
 from urllib.parse import unquote_to_bytes
 
 from anisespool import http1
-from anisespool.config import Names
+from anisespool.config import NameIndex
 from anisespool.exchange import Call
 from anisespool.telemetry import TELEMETRY
 from shuntlead import Settings
@@ -51,7 +51,7 @@
     return call._replace(left_ns=max(0, call.left_ns - waited_ns))
 
 
-def decode_request(request: http1.Request, names: Names, settings: Settings) -> Call:
+def decode_request(request: http1.Request, names: NameIndex, settings: Settings) -> Call:
     """The call that a request makes. Raises InvalidRequest if it is not valid."""
     if request.method not in (b"GET", b"HEAD", b"POST"):
         raise InvalidRequest(HTTPStatus.METHOD_NOT_ALLOWED, "GET, HEAD and POST are served")
--- a/anisespool/front/server.py
+++ b/anisespool/front/server.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from operator import itemgetter
 
-from anisespool.config import Address, Names
+from anisespool.config import Address, NameIndex
 from anisespool.errors import NoRoomForClients
 from anisespool.front.client_connection import ClientConnection
 from anisespool.front.client_reader import PausedConnections
@@ -39,7 +39,7 @@
     def __init__(
         self,
         sidecar: Sidecar,
-        names: Names,
+        names: NameIndex,
         settings: Settings,
         max_connections: int,
         buffer_bytes: int = 1 << 23,
--- a/anisespool/front/server_interface.py
+++ b/anisespool/front/server_interface.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from anisespool.config import Names
+from anisespool.config import NameIndex
 from anisespool.front.client_reader import PausedConnections
 from anisespool.front.stall_detector import StallDetector
 from anisespool.sidecar import Sidecar
@@ -19,7 +19,7 @@
     """The state and the limits that all client connections share."""
 
     sidecar: Sidecar
-    names: Names
+    names: NameIndex
     settings: Settings
     streaming: set[HttpConnection]
     paused_connections: PausedConnections
--- a/anisespool/list_updater.py
+++ b/anisespool/list_updater.py
@@ -1,4 +1,4 @@
-"""The list in use: what is told of servers goes to the connections to them and to the decisions."""
+"""Applies the list in use: passes on each change of a server to the connections and to the balancer."""
 
 from __future__ import annotations
 
@@ -12,57 +12,59 @@
 from shuntlead import interface as api
 from shuntlead.interface import EndpointState, ListForm
 
-LOOK_NS = 50_000_000  # between two looks at what discovery has written, while requests come
+READ_INTERVAL_NS = 50_000_000  # between reads of pending data from discovery, while requests arrive
 
 
-class ListUser:
+class ListUpdater:
     def __init__(self, servers: Servers, decisions: Decisions, endpoints: Endpoints) -> None:
         self.servers, self.decisions, self._endpoints = servers, decisions, endpoints
-        self.look: Callable[[], object] = lambda: None  # reads what discovery has written
-        self._looked_ns = 0
+        self.read_pending: Callable[[], object] = lambda: None  # reads pending data from discovery
+        self._read_ns = 0
 
-    def _look_at_discovery(self, now_ns: int) -> None:
-        """In a turn of the loop that takes long, or after a stop of the process, a change may lie unread:
-        nothing new is decided later than LOOK_NS after it has come."""
-        if now_ns >= self._looked_ns + LOOK_NS:
-            self._looked_ns = now_ns
-            self.look()
+    def _read_discovery(self, now_ns: int) -> None:
+        """Reads pending data from discovery. During a long iteration of the event loop, or after a stall of
+        the process, a change may be unread. No decision later than READ_INTERVAL_NS after the arrival of a
+        change ignores it."""
+        if now_ns >= self._read_ns + READ_INTERVAL_NS:
+            self._read_ns = now_ns
+            self.read_pending()
 
-    def listed(self, update: MemberList, form: ListForm | None = None) -> None:
-        """A list, or a change of one."""
+    def apply_list(self, update: MemberList, form: ListForm | None = None) -> None:
+        """Applies a list, or a change of one."""
         form = form or (ListForm.FULL if update.complete else ListForm.DELTA)
         change = self.servers.apply(update, form)
         if change.rows or change.gone:
             say("list", change.summary)
-        self._take_up(change.rows, change.gone, form)
+        self._publish(change.rows, change.gone, form)
 
-    def withdrawn(self, update: MemberList) -> None:
-        """A later line that is not part of the list in use: only what it takes out counts."""
+    def apply_withdrawals(self, update: MemberList) -> None:
+        """Applies a later update that is not part of the list in use. Only its withdrawals count."""
         self.refresh(self.servers.withdraw(update))
 
-    def heard(self) -> None:
-        """Discovery has just said all that it has to say."""
-        self.refresh(self.servers.heard())
+    def discovery_caught_up(self) -> None:
+        """Discovery has sent a message, and the list in use has all of its changes."""
+        self.refresh(self.servers.discovery_caught_up())
 
     def refresh(self, member_ids: Iterable[str]) -> None:
-        """Whether these servers are in use has changed without a list: by the operators, or by peers. To the
-        module that is a change of the list: attempts that wait for a connection are placed anew."""
+        """Whether these servers are in use has changed for another reason than a list, such as an operator's
+        order or a peer's report. For the balancer it is a change of the list: attempts that wait for a
+        connection are placed again."""
         rows = self.servers.refresh(member_ids)
         if rows:
-            self._take_up(rows, [], ListForm.DELTA)
+            self._publish(rows, [], ListForm.DELTA)
 
-    def _take_up(
+    def _publish(
         self, rows: list[tuple[Member, api.ListedEndpoint]], gone: list[int], form: ListForm
     ) -> None:
-        """The connections learn of it first, so that nothing decided next reaches an endpoint that drains.
-        That ends attempts, and the module would place them anew by the list it had before; so it
-        hears of the list ahead of them."""
+        """Updates the connections first, so that no request is sent to a draining endpoint any more. This
+        ends attempts, which the balancer places again. It must know the new list by then, so it receives the
+        list before these events."""
         with self.decisions.held():
             for member, row in rows:
                 if row.state != EndpointState.GONE:
                     up = row.state == EndpointState.READY
                     self._endpoints.update(row.endpoint, member.id, member.address, row.started_ns, up)
-            for number in gone:  # last, as one line may have a server both up and gone
+            for number in gone:  # last, as one update may show a server both as up and as removed
                 self._endpoints.remove(number)
         entries = tuple(row for _, row in rows)
         self.decisions.handle_first(api.EndpointList(self.servers.revision, form, entries))
--- a/anisespool/reload.py
+++ b/anisespool/reload.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from anisespool.config import Address, Config, reload_discovery
-from anisespool.discovery.watch import Move
+from anisespool.discovery.watch import AddressChange
 from anisespool.errors import ConfigError
 from anisespool.log import say
 from anisespool.waiting import first_of
@@ -20,7 +20,7 @@
 
     def __init__(self, env: Mapping[str, str], config: Config) -> None:
         """`config`: what was read at the start of the process."""
-        self.moves = asyncio.Queue[Move]()  # for the watch on discovery
+        self.moves = asyncio.Queue[AddressChange]()  # for the watch on discovery
         self._env, self._discovery = env, config.discovery
         self._asked = asyncio.Event()
         self._asked_s = 0.0  # monotonic seconds
@@ -46,7 +46,7 @@
 
     def _move(self, address: Address) -> None:
         self._discovery = address
-        self.moves.put_nowait(Move(address, self._asked_s))
+        self.moves.put_nowait(AddressChange(address, self._asked_s))
 
     async def _read(self, otherwise: Address | None = None) -> Address:
         """The address in the file, once it can be read, or `otherwise` if it has none. A file may be seen
--- a/anisespool/service.py
+++ b/anisespool/service.py
@@ -11,7 +11,7 @@
 from anisespool.admin_commands import Operators
 from anisespool.clock import CLOCK
 from anisespool.config import Address, Config, MemberList
-from anisespool.discovery.watch import Move, Watch
+from anisespool.discovery.watch import AddressChange, Watch
 from anisespool.endpoints import Endpoints
 from anisespool.fleet.shared_state import FleetState
 from anisespool.fleet.upgrade_rates import BesideRates
@@ -70,18 +70,18 @@
         self._memory = Memory(self._store, self._pair, outside, keeps_pins) if self._store else None
         self._watch = Watch(
             config.discovery, config.names, config.known, settings.fleet_size, settings.ask_within_ns,
-            self._sidecar.listed, at_once=config.inherited_fd is not None or settings.discovery == "push",
-            on_raw=self._store_list if self._snapshot else None, on_word=self._sidecar.heard,
-            on_late=self._sidecar.withdrawn,
+            self._sidecar.apply_list, at_once=config.inherited_fd is not None or settings.discovery == "push",
+            on_raw=self._store_list if self._snapshot else None, on_message=self._sidecar.discovery_caught_up,
+            on_late_update=self._sidecar.apply_withdrawals,
         )  # fmt: skip
         self._watch.make_room = self._server.make_room
-        self._sidecar.look = self._watch.look
+        self._sidecar.read_pending = self._watch.read_pending
         self._beside = BesideRates(self._store, outside) if self._store else None
         self._warm = None
         if self._sidecar.peers:
             self._fleet = FleetState(self._sidecar.peers, outside)
             self._warm = WarmStart(self._sidecar.peers, outside, settings.fleet_size,
-                                   settings.self_index, self._watch.heard.is_set)  # fmt: skip
+                                   settings.self_index, self._watch.list_received.is_set)  # fmt: skip
         self._admin = Admin(self._operators.calls, self._server.make_room)
 
     @property
@@ -95,7 +95,10 @@
         return self._endpoints.busy
 
     async def run(
-        self, stop: asyncio.Event, moves: asyncio.Queue[Move], on_listening: Callable[[Address], None]
+        self,
+        stop: asyncio.Event,
+        moves: asyncio.Queue[AddressChange],
+        on_listening: Callable[[Address], None],
     ) -> None:
         """Until `stop` is set and all that was taken is answered. Discovery is watched where the
         configuration says, and from then on where `moves` does."""
@@ -108,18 +111,18 @@
         known = self._config.known
         if self._snapshot:  # `known` may name as up what drained long since
             known = self._snapshot.loaded(self._config.names, known)
-        self._sidecar.listed(known, ListForm.CACHED)
+        self._sidecar.apply_list(known, ListForm.CACHED)
         self._watch.revision = known.revision  # what is asked for is what follows the list in use
         if self._memory:
             self._memory.load()
         tasks = [loop.create_task(supervise(name, work)) for name, work in self._works(moves)]
         self._server.stall_detector.start()
         if self._config.inherited_fd is not None:
-            await first_of((self._watch.heard, stop), LIST_WAIT_S)
+            await first_of((self._watch.list_received, stop), LIST_WAIT_S)
         elif self._config.settings.discovery == "push":
-            await first_of((self._watch.heard, stop, self._watch.failed), PUSHED_WAIT_S)
+            await first_of((self._watch.list_received, stop, self._watch.call_failed), PUSHED_WAIT_S)
         if self._config.inherited_fd is None and self._warm:
-            await self._warm.ask(self._watch.heard)
+            await self._warm.ask(self._watch.list_received)
             tasks.append(loop.create_task(supervise("what peers' lists say", self._follow_peers)))
         await asyncio.sleep(self._pair.unknown_s())  # or its first keys would be unknown there
         address = await open_with_retry(*self._listener(), stop)
@@ -146,7 +149,9 @@
         if self._store:
             self._store.close()
 
-    def _works(self, moves: asyncio.Queue[Move]) -> Iterator[tuple[str, Callable[[], Awaitable[object]]]]:
+    def _works(
+        self, moves: asyncio.Queue[AddressChange]
+    ) -> Iterator[tuple[str, Callable[[], Awaitable[object]]]]:
         """What runs for as long as the process, by name."""
         yield "the watch on discovery", lambda: self._watch.follow(moves)
         yield "the sweep of connections to servers", self._endpoints.sweep
@@ -167,13 +172,13 @@
 
     async def _follow_peers(self) -> None:
         if self._warm:
-            await self._warm.follow(self._watch.heard, self._watch.list_is_old)
+            await self._warm.follow(self._watch.list_received, self._watch.is_list_stale)
 
     def _store_list(self, raw: Entry, update: MemberList) -> None:
         """A line of discovery has been taken up."""
         if self._snapshot:
             servers = self._sidecar.servers
-            self._snapshot.heard(raw, update, servers.is_behind, servers.is_held)
+            self._snapshot.heard(raw, update, servers.is_behind, servers.is_withdrawn)
 
     async def _flush(self) -> None:
         """What is still owed to the store, in a last attempt."""
--- a/anisespool/sidecar.py
+++ b/anisespool/sidecar.py
@@ -13,7 +13,7 @@
 from anisespool.endpoints import Attempt, Endpoints
 from anisespool.exchange import ANSWER_RESERVE_NS, Answer, Call, Exchange, Exchanges
 from anisespool.external_state import Outside
-from anisespool.list_updater import ListUser
+from anisespool.list_updater import ListUpdater
 from anisespool.log import say
 from anisespool.peers import Peers
 from anisespool.servers import Servers
@@ -24,7 +24,7 @@
 from shuntlead.interface import Status
 
 
-class Sidecar(ListUser):
+class Sidecar(ListUpdater):
     def __init__(
         self, config: Config, endpoints: Endpoints, orders: Mapping[str, Order] | None = None
     ) -> None:
@@ -62,7 +62,7 @@
         client has left, though nobody may have told us yet."""
         self._next_request += 1
         request_id, now = self._next_request, time.monotonic_ns()
-        self._look_at_discovery(now)
+        self._read_discovery(now)
         left_ns = max(0, call.left_ns - ANSWER_RESERVE_NS)
         exchange = Exchange(call, now + left_ns, reply, is_gone, lambda: self._overdue(request_id))
         self._exchanges[request_id] = exchange
@@ -142,7 +142,7 @@
             return
         exchange.answer(Answer(200, flow=flow))
         exchange.streaming = True
-        self._handle(api.FirstByte(attempt.request_id, attempt.endpoint, attempt.took_ns, attempt.number))
+        self._handle(api.FirstByte(attempt.request_id, attempt.endpoint, attempt.latency_ns, attempt.number))
 
     def _ended(self, attempt: Attempt) -> None:
         exchange, status = self._exchanges[attempt.request_id], attempt.status
@@ -155,7 +155,7 @@
             over = exchange.reply is None
         if status is Status.FULL and over:
             status = Status.MOOT
-        self._handle(api.Outcome(attempt.request_id, attempt.endpoint, attempt.number, attempt.took_ns,
+        self._handle(api.Outcome(attempt.request_id, attempt.endpoint, attempt.number, attempt.latency_ns,
                                  status, over, attempt.load))  # fmt: skip
 
     def _refuse(self, action: api.Refuse) -> None:
@@ -174,14 +174,14 @@
     def _cancel(self, action: api.Cancel) -> None:
         exchange = self._exchanges.get(action.request)
         if exchange and action.attempt < len(exchange.attempts):
-            exchange.attempts[action.attempt].give_up(Status.CANCELLED)
+            exchange.attempts[action.attempt].abort(Status.CANCELLED)
 
     def _set_timer(self, action: api.SetTimer) -> None:
         timer = api.Timer(action.token)
         asyncio.get_running_loop().call_later(action.delay_ns / 1e9, self._due, timer)
 
     def _due(self, timer: api.Timer) -> None:
-        self._look_at_discovery(time.monotonic_ns())
+        self._read_discovery(time.monotonic_ns())
         self._handle(timer)
 
     def _log(self, action: api.Log | api.Fault) -> None:
--- a/anisespool/state/list_snapshot.py
+++ b/anisespool/state/list_snapshot.py
@@ -10,7 +10,7 @@
 from operator import xor
 from typing import Any
 
-from anisespool.config import MemberList, Names
+from anisespool.config import MemberList, NameIndex
 from anisespool.errors import StoreError
 from anisespool.log import say
 from anisespool.state.pending_writes import OwedWrite
@@ -43,7 +43,7 @@
         self._owed = OwedWrite("state", "the list is not stored", "the list is stored again", self._write)
         store.on_new_file.append(self._new_file)
 
-    def loaded(self, names: Names, known: MemberList) -> MemberList:
+    def loaded(self, names: NameIndex, known: MemberList) -> MemberList:
         """The stored list, unless `known` is later or it can't be read; else `known`. Of one revision the
         stored list is the one that discovery told here."""
         try:
--- a/anisespool/state/peer_lists.py
+++ b/anisespool/state/peer_lists.py
@@ -96,13 +96,13 @@
             await asyncio.sleep(random.uniform(0.5, 1.0) * AGAIN_S)
             is_old = not heard.is_set() or list_is_old()
             if is_old and not was_old:
-                self._outside.list_is_old()
+                self._outside.mark_list_stale()
             if is_old:
                 self._ask_some(ASKED[0])
             was_old = is_old
 
     def _ask_some(self, count: int, observations: bool = False) -> None:
-        up = self._outside.servers.up()
+        up = self._outside.servers.up_shared_ids()
         strangers = [peer for peer in self._others if peer not in self._due] or self._others
         for peer in random.sample(strangers, min(count, len(strangers))):
             self._due[peer] = set()
@@ -121,7 +121,7 @@
         if not self._has_list():
             self._peers.send(sender, PART + _PART.pack(nonce, 0, 0, 0, 0, 0))
             return True
-        revision, up = self._outside.servers.revision, self._outside.servers.up()
+        revision, up = self._outside.servers.revision, self._outside.servers.up_shared_ids()
         same = [PART + _PART.pack(nonce, revision, 0, 0, 0, 0)]
         for part in same if theirs == digest(up) else parts(nonce, revision, up):
             self._peers.send(sender, part)
--- a/anisespool/withdrawals.py
+++ b/anisespool/withdrawals.py
@@ -1,20 +1,21 @@
-"""Which servers are out of use, whichever list has them as up: the one owner of that.
+"""Decides which servers are withdrawn, that is, not used although a list says that they are up.
 
-A server that has been told as draining or gone stays out until a later word about it: a row of a later
-revision, or one with a later start (a server that has drained comes back as a new process). Lists come from
-the configuration, the state store, watches on several addresses, and peers, and any of them may be behind
-what another has told. So all of them pass through here:
+A server that a list shows as draining or removed stays withdrawn until newer information: an entry of a later
+revision, or one with a later start time, as a server that has drained comes back as a new process. Lists come
+from the configuration, the state store, watches at several addresses, and peers, and any of them may be older
+than another. So all of them are checked here:
 
-- a row that has a server as up counts only if its revision is later than the one that took it out, or its
-  start is;
-- a list behind the latest one names as up what has left since, so of its rows only those count that the
-  latest list had as up too, and servers that have started since that list came;
-- what a peer's later list has as out is out until the list in use is as late.
+- An entry that shows a server as up counts only if its revision or its start time is later than that of the
+  withdrawal.
+- A list older than the latest one may show servers as up that have left since. An entry of such a list counts
+  only if the latest list had the server as up, too, or the server has started since that list was received.
+- A server that a peer's later list shows as not up is withdrawn until the list in use is as recent.
 
-Revisions may also begin anew, and then all that is told would be behind for good. So what is held out against
-the list in use is given up once discovery has gone on speaking for FOLLOW_S without a later revision.
+If discovery restarts its revisions from a lower number, every new list would look old for ever. So the
+withdrawals that contradict the list in use are dropped once discovery has sent messages for REVISION_RESET_S
+without a later revision.
 
-No socket and no clock here: times are the caller's monotonic nanoseconds.
+No I/O and no clock: times are monotonic nanoseconds from the caller.
 """
 
 from __future__ import annotations
@@ -25,24 +26,24 @@
 from anisespool.member_list import Member
 from shuntlead.outliers import quorum
 
-FOLLOW_S = 30.0  # a list is some seconds late at most, 15 with some to spare; twice that
-FOLLOW_NS = int(FOLLOW_S * 1e9)
-MOST_OUT = 16_384  # servers remembered as out, the latest to go
-MOST_WORDS = 8  # of peers on one server, the latest: more than any quorum
+REVISION_RESET_S = 30.0  # twice the maximum delay of a list, which is some seconds, 15 with a margin
+REVISION_RESET_NS = int(REVISION_RESET_S * 1e9)
+MAX_WITHDRAWN = 16_384  # servers remembered as withdrawn, the most recent ones
+MAX_REPORTS_PER_SERVER = 8  # reports of peers kept per server, the latest ones; more than any quorum
 
 
-Up = Callable[[], Iterable[Member]]  # the servers that the list in use has as up
+UpMembers = Callable[[], Iterable[Member]]  # returns the servers that are up in the list in use
 
 
 class Withdrawal(NamedTuple):
-    """A server was out by a list of this revision, in the process that had started then."""
+    """A list of this revision showed a server, with this start time, as not up."""
 
     started_ms: int
     revision: int
 
 
-class PeerWord(NamedTuple):
-    """How a server stands on a peer's list of this revision."""
+class PeerReport(NamedTuple):
+    """Whether a server is up in a peer's list of this revision."""
 
     revision: int
     is_up: bool
@@ -50,67 +51,67 @@
 
 class Withdrawals:
     def __init__(self, fleet_size: int) -> None:
-        """`fleet_size`: how many sidecars there are, which bounds how many peers must agree."""
+        """`fleet_size`: the number of sidecars, which determines the quorum."""
         self.revision = 0  # the latest of all lists so far
-        self._latest_ns = 0  # when that was taken up
+        self._latest_ns = 0  # when that list was applied
         self._quorum = quorum(fleet_size)
-        self._out: dict[str, Withdrawal] = {}
-        self._confirmed: dict[str, int] | None = (
-            None  # up by the latest list: id -> start; None: it is in use
-        )
-        self._contradicted: set[str] = set()  # up by the list in use, and out by an equal or later one
-        self._unconfirmed: set[str] = set()  # up by the list in use, which is behind, and not by the latest
-        self._words: dict[str, dict[int, PeerWord]] = {}  # by the server's id and the peer's number
-        self._out_by_peers: frozenset[str] = frozenset()
-        self._against_ns: int | None = None  # since when discovery has been speaking against these
+        self._withdrawn: dict[str, Withdrawal] = {}
+        # Servers up in the latest list, with their start times; None: the latest list is in use.
+        self._confirmed: dict[str, int] | None = None
+        # Servers withdrawn although they are up in the list in use, for one of three reasons:
+        self._contradicted: set[str] = set()  # not up in another list of the same or a later revision
+        self._unconfirmed: set[str] = set()  # the list in use is older than the latest, where they are not up
+        self._peer_reports: dict[str, dict[int, PeerReport]] = {}  # by the server's id and the peer's number
+        self._out_by_peers: frozenset[str] = frozenset()  # not up in later lists of peers
+        self._contradicted_since_ns: int | None = None  # since when discovery has contradicted these
 
     @property
     def is_behind(self) -> bool:
         """Whether the list in use is older than the latest one."""
         return self._confirmed is not None
 
-    def holds(self, member: Member) -> bool:
-        """Whether a server that the list in use has as up is out all the same."""
-        return self._is_told_out(member) or member.id in self._out_by_peers
+    def is_withdrawn(self, member: Member) -> bool:
+        """Whether a server that is up in the list in use is withdrawn."""
+        return self._is_out_by_lists(member) or member.id in self._out_by_peers
 
-    def _is_told_out(self, member: Member) -> bool:
+    def _is_out_by_lists(self, member: Member) -> bool:
         return member.id in self._contradicted or member.id in self._unconfirmed
 
     # Lists ------------------------------------------------------------------------------------------
 
-    def begin(self, revision: int, up: Iterable[Member]) -> None:
-        """A list, or a change of one, of this revision comes. `up`: those in use by the list before it."""
+    def begin_list(self, revision: int, up: Iterable[Member]) -> None:
+        """Starts to process a list, or a change of one. `up`: the servers in use before it."""
         if revision < self.revision and self._confirmed is None:
             self._confirmed = {member.id: member.up_since_ms for member in up}
 
-    def told_out(self, server: str, started_ms: int, revision: int) -> None:
-        """A row of this revision has it as draining or gone, or a whole list leaves it out."""
+    def record_withdrawal(self, server: str, started_ms: int, revision: int) -> None:
+        """An entry of this revision shows the server as draining or removed, or a complete list lacks it."""
         self._contradicted.discard(server)
         self._unconfirmed.discard(server)
-        known = self._out.pop(server, None)
+        known = self._withdrawn.pop(server, None)
         if known and known.started_ms > started_ms:
-            self._out[server] = known
+            self._withdrawn[server] = known
             return
         if known and known.started_ms == started_ms:
             revision = max(revision, known.revision)
-        self._out[server] = Withdrawal(started_ms, revision)
-        if len(self._out) > MOST_OUT:
-            del self._out[next(iter(self._out))]
+        self._withdrawn[server] = Withdrawal(started_ms, revision)
+        if len(self._withdrawn) > MAX_WITHDRAWN:
+            del self._withdrawn[next(iter(self._withdrawn))]
 
-    def told_out_elsewhere(self, member: Member, revision: int) -> None:
-        """A line that is not part of the list in use has it as draining or gone."""
-        self.told_out(member.id, member.up_since_ms, revision)
+    def record_separate_withdrawal(self, member: Member, revision: int) -> None:
+        """An update that is not part of the list in use shows the server as draining or removed."""
+        self.record_withdrawal(member.id, member.up_since_ms, revision)
         self._contradicted.add(member.id)
 
-    def told_up(self, member: Member, revision: int) -> None:
-        """A row of this revision has it as up."""
-        out = self._out.get(member.id)
+    def record_up(self, member: Member, revision: int) -> None:
+        """An entry of this revision shows the server as up."""
+        out = self._withdrawn.get(member.id)
         is_restarted = out is not None and member.up_since_ms > out.started_ms
         if out and not is_restarted and revision <= out.revision:
             self._contradicted.add(member.id)
         else:
             self._contradicted.discard(member.id)
-            self._out.pop(member.id, None)
+            self._withdrawn.pop(member.id, None)
         if self._confirmed is None or revision >= self.revision:
             self._unconfirmed.discard(member.id)
             return
@@ -122,76 +123,81 @@
         else:
             self._unconfirmed.add(member.id)
 
-    def end(self, revision: int, now_ns: int, up: Up) -> set[str]:
-        """All rows of that list are told. The servers that it may have changed without a row of theirs."""
+    def end_list(self, revision: int, now_ns: int, up: UpMembers) -> set[str]:
+        """All entries of the list have been recorded. Returns servers without an entry that it may affect."""
         changed: set[str] = set()
         if revision >= self.revision:
             self.revision, self._latest_ns, self._confirmed = revision, now_ns, None
             changed, self._unconfirmed = self._unconfirmed, set()
-        for server, words in list(self._words.items()):
-            later = {peer: word for peer, word in words.items() if word.revision > revision}
+        for server, reports in list(self._peer_reports.items()):
+            later = {peer: report for peer, report in reports.items() if report.revision > revision}
             if later:
-                self._words[server] = later
+                self._peer_reports[server] = later
             else:
-                del self._words[server]
-        return changed | self._weigh_words(up)
+                del self._peer_reports[server]
+        return changed | self._update_out_by_peers(up)
 
     # Peers ------------------------------------------------------------------------------------------
 
-    def peer_said(self, peer: int, revision: int, standing: Mapping[str, bool], up: Up) -> set[str]:
-        """A peer's list of a later revision than the one in use has these servers as up, or not. `up`: all
-        that the list in use has as up. The servers for which that changes something."""
+    def peer_reported(
+        self, peer: int, revision: int, up_by_server: Mapping[str, bool], up: UpMembers
+    ) -> set[str]:
+        """Records which servers are up in a peer's list, which is later than the list in use. `up`: the
+        servers up in the list in use. Returns the servers affected."""
         changes = False
-        for server, is_up in standing.items():
-            if is_up and server not in self._words:
-                continue  # nobody has said otherwise, and a word for each server and peer would be many
-            words, word = self._words.setdefault(server, {}), PeerWord(revision, is_up)
-            changes |= words.get(peer) != word
-            words[peer] = word
-            if len(words) > MOST_WORDS:
-                del words[min(words, key=lambda each: words[each].revision)]
-        return self._weigh_words(up) if changes else set()
-
-    def _weigh_words(self, up: Up) -> set[str]:
-        """The latest word holds. One peer alone must not leave nothing in use, a quorum may."""
-        out = {server for server, words in self._words.items() if not _latest(words).is_up}
-        if out and all(member.id in out or self._is_told_out(member) for member in up()):
-            out = {server for server in out if self._says_quorum(server)}
+        for server, is_up in up_by_server.items():
+            if is_up and server not in self._peer_reports:
+                continue  # no peer contradicts it; a report per server and peer would take much memory
+            reports, report = self._peer_reports.setdefault(server, {}), PeerReport(revision, is_up)
+            changes |= reports.get(peer) != report
+            reports[peer] = report
+            if len(reports) > MAX_REPORTS_PER_SERVER:
+                del reports[min(reports, key=lambda each: reports[each].revision)]
+        return self._update_out_by_peers(up) if changes else set()
+
+    def _update_out_by_peers(self, up: UpMembers) -> set[str]:
+        """The latest report on a server decides. But it takes a quorum of peers to withdraw the last server
+        in use, not a single one. Returns the servers affected."""
+        out = {server for server, reports in self._peer_reports.items() if not _latest_report(reports).is_up}
+        if out and all(member.id in out or self._is_out_by_lists(member) for member in up()):
+            out = {server for server in out if self._has_quorum(server)}
         before, self._out_by_peers = self._out_by_peers, frozenset(out)
         return set(before ^ self._out_by_peers)
 
-    def _says_quorum(self, server: str) -> bool:
-        return sum(not word.is_up for word in self._words[server].values()) >= self._quorum
+    def _has_quorum(self, server: str) -> bool:
+        return sum(not report.is_up for report in self._peer_reports[server].values()) >= self._quorum
 
-    # Revisions that begin anew ------------------------------------------------------------------------
+    # Restarted revisions ------------------------------------------------------------------------------
 
-    def spoke(self, now_ns: int, revision: int) -> set[str]:
-        """Discovery has just said all that it has to say; the list in use is of this revision. The servers
-        that are back, as they were held out against it for FOLLOW_NS."""
+    def discovery_caught_up(self, now_ns: int, revision: int) -> set[str]:
+        """Discovery has sent a message, and the list in use, of this revision, is all that it has. Returns
+        the servers back in use, as discovery has contradicted their withdrawal for REVISION_RESET_NS."""
         held = self._contradicted | self._unconfirmed | self._out_by_peers
         if not held:
-            self._against_ns = None
+            self._contradicted_since_ns = None
             return set()
-        if self._against_ns is None:
-            self._against_ns = now_ns
-        if now_ns < self._against_ns + FOLLOW_NS:
+        if self._contradicted_since_ns is None:
+            self._contradicted_since_ns = now_ns
+        if now_ns < self._contradicted_since_ns + REVISION_RESET_NS:
             return set()
-        self._begin_anew(revision, held)
+        self._reset_revisions(revision, held)
         return held
 
-    def _begin_anew(self, revision: int, held: Iterable[str]) -> None:
+    def _reset_revisions(self, revision: int, held: Iterable[str]) -> None:
         for server in held:
-            self._out.pop(server, None)
-        self._out = {s: Withdrawal(o.started_ms, min(o.revision, revision)) for s, o in self._out.items()}
-        self._words, self._out_by_peers = {}, frozenset()
+            self._withdrawn.pop(server, None)
+        self._withdrawn = {
+            s: Withdrawal(o.started_ms, min(o.revision, revision)) for s, o in self._withdrawn.items()
+        }
+        self._peer_reports, self._out_by_peers = {}, frozenset()
         self._contradicted, self._unconfirmed = set(), set()
-        self._confirmed, self._against_ns, self.revision = None, None, revision
+        self._confirmed, self._contradicted_since_ns, self.revision = None, None, revision
 
-    def fell_silent(self) -> None:
-        """Discovery is not heard: that nothing later is told means nothing."""
-        self._against_ns = None
+    def discovery_silent(self) -> None:
+        """Discovery sends nothing. That it has no later revision proves nothing then."""
+        self._contradicted_since_ns = None
 
 
-def _latest(words: Mapping[int, PeerWord]) -> PeerWord:
-    """Of the peers' words on one server; of one revision the one that has it as out."""
-    return max(words.values(), key=lambda word: (word.revision, not word.is_up))
+def _latest_report(reports: Mapping[int, PeerReport]) -> PeerReport:
+    """The report of the latest revision; among equal revisions, one that shows the server as not up."""
+    return max(reports.values(), key=lambda report: (report.revision, not report.is_up))
--- a/tests/drains.py
+++ b/tests/drains.py
@@ -9,7 +9,7 @@
 from time import monotonic
 from typing import Any
 
-from anisespool.endpoints.pool import REST_S
+from anisespool.endpoints.pool import REUSE_DELAY_S
 from tests.net import OK, Peer, World, exchange, member, member_list, until, world
 from tests.observer import Observer, Server
 
@@ -45,7 +45,7 @@
 
     async def rested(self) -> None:
         """Until the connections that are idle now may carry a request."""
-        due = monotonic() + REST_S
+        due = monotonic() + REUSE_DELAY_S
         await until(lambda: monotonic() > due)
 
     async def call(self, trace: str, **fields: Any) -> int:
--- a/tests/scale/decider.py
+++ b/tests/scale/decider.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from anisespool.config import Names
+from anisespool.config import NameIndex
 from anisespool.servers import Servers
 from shuntlead import Balancer, Settings
 from shuntlead import interface as api
@@ -24,7 +24,7 @@
         settings = Settings.from_dict(settings_json(allowed__peers=True, fleet_size=len(listing.rows)))
         epoch_ns = EPOCH_MS * 1_000_000 - 1_000 * SECOND
         zones, kinds = ({name: n for n, name in enumerate(names)} for names in (ZONES, SKUS))
-        self._names = Names({}, {}, zones, kinds, epoch_ns)
+        self._names = NameIndex({}, {}, zones, kinds, epoch_ns)
         self.servers = Servers({}, epoch_ns)
         self.balancer = Balancer(settings, seed)
         self.now, self.requests = 1_000 * SECOND, 0
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -10,7 +10,7 @@
 
 from anisespool import http1
 from anisespool.config import Config, load
-from anisespool.discovery.object_decoder import Lines
+from anisespool.discovery.object_decoder import ObjectDecoder
 from anisespool.endpoints import Endpoints
 from anisespool.limits import shares
 from anisespool.maintenance import Maintenance
@@ -95,11 +95,11 @@
         if self.store:
             self.memory = Memory(self.store, self.pair, self.sidecar.outside, keeps_pins=True)
         self.revision = 0
-        self._lines, self._chunks = Lines(), list[bytes]()
+        self._lines, self._chunks = ObjectDecoder(), list[bytes]()
         self._parser = http1.ResponseParser(lambda data: self._chunks.append(data))
         self._tasks: list[asyncio.Task[None]] = []
         self._waiting: list[asyncio.Task[None]] = []
-        self.sidecar.listed(config.known, ListForm.CACHED)
+        self.sidecar.apply_list(config.known, ListForm.CACHED)
         self._parser.feed(HEAD)
 
     def _ordered(self, servers: Iterable[str]) -> None:
@@ -136,7 +136,7 @@
             chunks, self._chunks = self._chunks, []
             for raw in self._lines.feed(b"".join(chunks)):
                 update = self.config.names.member_list(raw)
-                self.sidecar.listed(update)
+                self.sidecar.apply_list(update)
                 if self.snapshot:
                     self.snapshot.heard(raw, update)
                 self.revision = update.revision
--- a/tests/scale_fleet/collisions.py
+++ b/tests/scale_fleet/collisions.py
@@ -58,9 +58,9 @@
     servers, names = Servers({}, 0), pair(seed)
     members = [_member(name, EndpointState.READY) for name in names]
     servers.apply(MemberList(1, True, tuple(members)), ListForm.FULL)
-    both = servers.names_of(servers.by_shared.values())
+    both = servers.ids_of(servers.number_by_shared_id.values())
     servers.apply(MemberList(2, False, (_member(names[1], EndpointState.GONE),)), ListForm.DELTA)
-    return Alike(both, servers.names_of(servers.by_shared.values()))
+    return Alike(both, servers.ids_of(servers.number_by_shared_id.values()))
 
 
 def _member(name: str, state: EndpointState) -> Member:
--- a/tests/scale_fleet/course.py
+++ b/tests/scale_fleet/course.py
@@ -15,8 +15,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from anisespool.discovery.clock import SIGN_S, CallClock
-from anisespool.discovery.deadline import Failure
+from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S, CallSchedule
+from anisespool.discovery.deadline import CallFailure
 from tests.scale_fleet.discovery import StandIn, Timeline
 
 ASK_WITHIN_S = 10.0  # as in the settings of the tests
@@ -63,7 +63,7 @@
 
     def __init__(self, fleet: _Fleet) -> None:
         self.fleet, self.told_at = fleet, -1.0
-        self.clock = CallClock(fleet.play.fleet_size, ASK_WITHIN_S, fleet.times.time())
+        self.clock = CallSchedule(fleet.play.fleet_size, ASK_WITHIN_S, fleet.times.time())
 
     def call_in(self, delay_s: float) -> None:
         self.fleet.times.call_at(self.fleet.times.time() + delay_s, self.call)
@@ -89,17 +89,17 @@
         return was_open
 
     def failed(self) -> None:
-        self._fail(Failure.REFUSED if self._sidecar.fleet.discovery.up else Failure.UNREACHABLE)
+        self._fail(CallFailure.REFUSED if self._sidecar.fleet.discovery.up else CallFailure.UNREACHABLE)
 
     def given_up(self) -> None:
-        self._fail(Failure.HUNG)
+        self._fail(CallFailure.HUNG)
 
-    def _fail(self, failure: Failure) -> None:
+    def _fail(self, failure: CallFailure) -> None:
         if self._open:
             self._open = False
             fleet, clock = self._sidecar.fleet, self._sidecar.clock
             fleet.failed += fleet.discovery.up
-            self._sidecar.call_in(clock.failed(self.began_s, fleet.times.time(), failure))
+            self._sidecar.call_in(clock.call_failed(self.began_s, fleet.times.time(), failure))
 
 
 class _Fleet:
@@ -126,12 +126,12 @@
         self.discovery.up = True
 
 
-def _first_call(clock: CallClock, start: Start) -> float:
+def _first_call(clock: CallSchedule, start: Start) -> float:
     if start is Start.SILENT:
-        clock.heard(-random.uniform(0.0, SIGN_S))
+        clock.line_received(-random.uniform(0.0, HEARTBEAT_INTERVAL_S))
         return clock.renewal_at()
     if start is Start.ENDED:
-        return clock.ended(0.0)
+        return clock.watch_ended(0.0)
     return clock.start_delay(start is Start.RESTARTED)
 
 
--- a/tests/scale_fleet/lines.py
+++ b/tests/scale_fleet/lines.py
@@ -10,7 +10,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from anisespool.discovery.clock import SIGN_S
+from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S
 
 BUDGET_BYTES_S = 13_000.0  # a sidecar's, for control
 MACHINES = 14  # of the control plane
@@ -43,7 +43,7 @@
     lines = 0
     while now < for_s:
         wait = draw.expovariate(changes_s)
-        empties = int(wait / SIGN_S)
+        empties = int(wait / HEARTBEAT_INTERVAL_S)
         lines += empties + 1
         total += empties * line_bytes(0) + line_bytes(1)
         now += wait
--- a/tests/scale_fleet/list_cost.py
+++ b/tests/scale_fleet/list_cost.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from anisespool.config import Address, load
-from anisespool.discovery.object_decoder import Lines
+from anisespool.discovery.object_decoder import ObjectDecoder
 from anisespool.endpoints import Endpoints
 from anisespool.sidecar import Sidecar
 from tests.net import member, member_list, write_config
@@ -47,7 +47,7 @@
 
 
 def _read(data: bytes, piece: int) -> list[dict[str, Any]]:
-    lines, found = Lines(), []
+    lines, found = ObjectDecoder(), []
     for at in range(0, len(data), piece):
         found += lines.feed(data[at : at + piece])
     return found
@@ -61,7 +61,7 @@
     def take(revision: int, rows: list[dict[str, Any]], complete: bool = False) -> None:
         data = json.dumps(member_list(revision, rows, complete)).encode() + b"\n"
         for raw in _read(data, PIECES[1]):
-            sidecar.listed(config.names.member_list(raw))
+            sidecar.apply_list(config.names.member_list(raw))
 
     rows = [row(n) for n in range(size)]
     whole = json.dumps(member_list(1, rows)).encode() + b"\n"
--- a/tests/scale_fleet/processes.py
+++ b/tests/scale_fleet/processes.py
@@ -14,7 +14,7 @@
 import psutil
 
 from anisespool.config import Address
-from anisespool.discovery.clock import SIGN_S
+from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S
 from tests.net import Peer, member, member_list, read_request, reset, until, write_config
 from tests.scale_fleet.course import Play, late
 from tests.scale_fleet.discovery import StandIn
@@ -77,7 +77,7 @@
 
     async def sign(self) -> None:
         while True:
-            await asyncio.sleep(SIGN_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             for writer in self.watching:
                 writer.write(EMPTY)
 
--- a/tests/scale_fleet/scenarios.py
+++ b/tests/scale_fleet/scenarios.py
@@ -4,7 +4,7 @@
 
 from math import ceil
 
-from anisespool.discovery.clock import CALL_S, LONGEST_S
+from anisespool.discovery.clock import CALL_TIMEOUT_S, MAX_PAUSE_S
 from tests.scale_fleet import course, lines
 from tests.scale_fleet.course import Play, Start
 from tests.scale_fleet.lines import BUDGET_BYTES_S, CHANGES_S, MACHINES, RACK, ZONES
@@ -98,7 +98,7 @@
     for per_s in CAPACITIES:
         play = Play(size // REGIONS, size, per_s, True, Start.SILENT, HOUR_S)
         row = _recover("f. a region back after an hour:", "calls hung", play, seed)
-        row.figures["calls in the hour"] = play.callers * HOUR_S / (CALL_S + 0.75 * LONGEST_S)
+        row.figures["calls in the hour"] = play.callers * HOUR_S / (CALL_TIMEOUT_S + 0.75 * MAX_PAUSE_S)
         rows.append(row)
     return rows
 
--- a/tests/scale_fleet/watches.py
+++ b/tests/scale_fleet/watches.py
@@ -14,16 +14,16 @@
 from typing import Any
 from unittest import mock
 
-from anisespool.config import Address, MemberList, Names
+from anisespool.config import Address, MemberList, NameIndex
 from anisespool.discovery import stream, watch
-from anisespool.discovery.clock import SIGN_S
+from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S
 from tests.scale_fleet import virtual
 from tests.scale_fleet.course import ASK_WITHIN_S, HORIZON_S, Play, late, seeded
 from tests.scale_fleet.discovery import StandIn
 from tests.virtual_channel import opening
 
 ADDRESS = Address("discovery", 80)
-NAMES = Names({}, {}, {}, {}, 0)
+NAMES = NameIndex({}, {}, {}, {}, 0)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 EMPTY = b"1\r\n\n\r\n"
@@ -80,7 +80,7 @@
 
     async def sign(self) -> None:
         while True:
-            await asyncio.sleep(SIGN_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             for connection in list(self.watching):
                 connection.say(EMPTY)
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -115,7 +115,7 @@
 async def test_bad_answers_of_a_server_cost_no_request_its_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], data: bytes
 ) -> None:
-    monkeypatch.setattr(endpoints, "QUIET_S", 60.0)
+    monkeypatch.setattr(endpoints, "LOG_INTERVAL_S", 60.0)
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
--- a/tests/test_clock_starts.py
+++ b/tests/test_clock_starts.py
@@ -12,7 +12,7 @@
 
 from anisespool.clock import SteadyClock
 from anisespool.config import Address, Member, MemberList
-from anisespool.servers import LATEST_LIST_NS, Servers
+from anisespool.servers import MAX_LIST_DELAY_NS, Servers
 from anisespool.state.records import Order
 from shuntlead.interface import EndpointState, ListedEndpoint, ListForm
 from tests.net import Endpoint, TellingDiscovery, member, member_list
@@ -140,10 +140,10 @@
     """Though the others' clock alone has stepped, of which nothing is known here."""
     steady = SteadyClock()
     servers = Servers({}, steady.epoch_ns, steady)
-    servers.heard()
+    servers.discovery_caught_up()
     last_word_ns, clock.there_ns = monotonic_ns(), round(step_s * SECOND)
     started_ns = _dated(servers, "s-0", clock.there_ms())
-    is_late = -LATEST_LIST_NS < clock.there_ns < 0  # as in a list that comes so late: dated as it is told
+    is_late = -MAX_LIST_DELAY_NS < clock.there_ns < 0  # as in a list that comes so late: dated as it is told
     earliest_ns = last_word_ns + clock.there_ns if is_late else last_word_ns
     assert earliest_ns - SECOND / 4 < started_ns <= monotonic_ns()
     assert _dated(servers, "s-1", 0) == 0  # long ago, as it says itself
@@ -155,7 +155,7 @@
     for ago_s in (0.5, 8.0, 3600.0):
         started_ns = _dated(servers, f"s-{ago_s}", clock.there_ms(ago_s))
         assert abs(max(1, monotonic_ns() - ago_s * SECOND) - started_ns) < SECOND / 4  # 1: before the boot
-    servers.heard()
+    servers.discovery_caught_up()
     again_ns = _dated(servers, "s-8.0", clock.there_ms())  # it has started again
     assert monotonic_ns() - again_ns < SECOND
 
--- a/tests/test_connect_failures.py
+++ b/tests/test_connect_failures.py
@@ -41,7 +41,7 @@
 async def test_a_short_lack_at_this_machine_is_waited_out_and_says_nothing_of_the_server(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int, name: str
 ) -> None:
-    monkeypatch.setattr(endpoints, "QUIET_S", 60.0)
+    monkeypatch.setattr(endpoints, "LOG_INTERVAL_S", 60.0)
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         matches = goes_to(endpoint.address) if name == "connect" else always
@@ -68,7 +68,7 @@
         await until(lambda: all(a.status is not None for a in attempts))
         assert {a.status for a in attempts} == {Status.MOOT}
         assert monotonic() - began >= 0.1
-        assert failing.failed <= 8 * (0.1 / endpoints.SHORT_PAUSE_S + 2)  # it does not spin
+        assert failing.failed <= 8 * (0.1 / endpoints.SHORTAGE_PAUSE_S + 2)  # it does not spin
         assert len(driver.ends) == 8 and not endpoint.requests
         await is_settled(driver)
         assert not driver.endpoints.connections
@@ -154,7 +154,7 @@
 async def test_a_servers_name_that_is_none_is_a_server_that_cannot_be_reached(host: str) -> None:
     driver = Driver(Address(host, 80))
     attempt = await driver.result()
-    assert attempt.status is Status.CONNECT_FAILED and attempt.took_ns < SECOND
+    assert attempt.status is Status.CONNECT_FAILED and attempt.latency_ns < SECOND
     await is_settled(driver)
 
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def taken_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection may be used again at once; that it rests first is shown in tests/test_crossings.py."""
-    monkeypatch.setattr(endpoints, "REST_S", 0.0)
+    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)
 
 
 async def test_connections_are_kept_and_carry_one_request_at_a_time() -> None:
@@ -45,7 +45,7 @@
         # The news is in the kernel, and the loop has not read it yet: no turn of the loop in between.
         transport.pause_reading()
         endpoint.connections[0][1].close()
-        await until(lambda: not connection.fresh())
+        await until(lambda: not connection.is_usable())
         assert connection in driver.endpoints.connections
         assert (await driver.result()).status is Status.OK
         assert len(endpoint.requests) == 2 and len(endpoint.connections) == 2
@@ -169,7 +169,7 @@
         driver = Driver(Address(*server.sockets[0].getsockname()))
         attempt = driver.send(Request(b"POST", b"/once/1", {}, b"x" * size, True))
         await until(lambda: attempt.connection is not None)
-        attempt.give_up(Status.CANCELLED)
+        attempt.abort(Status.CANCELLED)
         read_on.set()
         await ended.wait()
     assert got < size
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -148,8 +148,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes just when the next request has: on the connection of the first, wherever the next one is."""
-    assert pool.REST_S >= 0.03  # as long as a second answer is late; here, as a busy machine may be
-    monkeypatch.setattr(endpoints, "REST_S", UNTIL_S)
+    assert pool.REUSE_DELAY_S >= 0.03  # as long as a second answer is late; here, as a busy machine may be
+    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", UNTIL_S)
     stray = OK.replace(b"ok", b"no")
     arrived: list[asyncio.StreamWriter] = []
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -149,7 +149,7 @@
     async with Endpoint(held_until(release)).serve() as endpoint:
         config = load(write_config(tmp_path, endpoint.address, [member("s-0", endpoint.address)]))
         sidecar = Sidecar(config, Endpoints((), 10**9, 10**10, 16))
-        sidecar.listed(config.known, ListForm.CACHED)
+        sidecar.apply_list(config.known, ListForm.CACHED)
         listening = server.Server(sidecar, config.names, config.settings, 50)
         address = listening.listen(Address("127.0.0.1", 0))
         asking = [asyncio.create_task(exchange(address, raw_call(left_ms=15_000))) for _ in range(3)]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,8 +17,8 @@
 
 from anisespool.config import Address, MemberList, load
 from anisespool.discovery import clock, watch
-from anisespool.discovery.object_decoder import Lines
-from anisespool.discovery.watch import Move
+from anisespool.discovery.object_decoder import ObjectDecoder
+from anisespool.discovery.watch import AddressChange
 from tests.net import (
     SLACK_S,
     Discovery,
@@ -56,7 +56,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Repeats of all sidecars fill the short queue of discovery, and no call is served in time."""
-    monkeypatch.setattr(clock, "LEAST_LONGEST_S", 0.2)
+    monkeypatch.setattr(clock, "SMALL_FLEET_MAX_PAUSE_S", 0.2)
     waits = []
     for fleet_size in (1, 4):
         async with Overbooked().serve() as busy, Endpoint().serve() as endpoint:
@@ -92,7 +92,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One that has not asked for so long counts as told, and sends to servers that are gone."""
-    monkeypatch.setattr(clock, "LEAST_LONGEST_S", 0.0)
+    monkeypatch.setattr(clock, "SMALL_FLEET_MAX_PAUSE_S", 0.0)
     async with Overbooked().serve() as busy:
         config = load(write_config(tmp_path, busy.address, [member("s-0", busy.address)]))
         watches = [
@@ -163,7 +163,7 @@
             plays.append(partial(seconds_until_told, found, size, tmp_path, whole, refusals=2))
         await asyncio.gather(*(play() for play in plays))
         print(f"fleet of {size}: in force {min(found):.2f} to {max(found):.2f} s after the silence began")
-        assert min(found) > clock.SIGN_S and max(found) < bound_s
+        assert min(found) > clock.HEARTBEAT_INTERVAL_S and max(found) < bound_s
 
     await asyncio.gather(fleet(2, 3.8), fleet(200, 4.5))
 
@@ -171,12 +171,12 @@
 async def test_a_late_watch_is_kept_and_one_that_moved_stays_until_the_new_one_has_spoken(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clock, "SIGN_S", 0.1)
-    monkeypatch.setattr(clock, "LATE_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_INTERVAL_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_SLACK_S", 0.1)
     heard: list[int] = []
     async with Discovery().serve() as old, Discovery().serve() as new:
         config = load(write_config(tmp_path, old.address, []))
-        moves = asyncio.Queue[Move]()
+        moves = asyncio.Queue[AddressChange]()
         calls = watch.Watch(old.address, config.names, MemberList(1, True, ()), 2, 10 * SECOND,
                             lambda update: heard.append(update.revision))  # fmt: skip
         task = asyncio.create_task(calls.follow(moves))
@@ -185,7 +185,7 @@
             await asyncio.sleep(0.12)
             old.say(b"")
         assert len(old.connections) == 1
-        moves.put_nowait(Move(new.address, monotonic()))
+        moves.put_nowait(AddressChange(new.address, monotonic()))
         await until(lambda: bool(new.connections))
         new.say(CHANGE)
         await until(lambda: heard == [7])
@@ -212,7 +212,7 @@
         else:
             written.append(value)
         stream += text + b"\n" + b"\n"
-    lines, found = Lines(), []
+    lines, found = ObjectDecoder(), []
     for n in range(0, len(stream), piece):
         found += lines.feed(stream[n : n + piece])
     assert found == written
--- a/tests/test_drain_hearsay.py
+++ b/tests/test_drain_hearsay.py
@@ -35,7 +35,7 @@
         config = load(write_config(folder, servers[0].address, self.rows, **changes))
         self.names = config.names
         self.sidecar = Sidecar(config, Endpoints((), 10**9, 10**10, 64), self.orders)
-        self.sidecar.listed(config.known, ListForm.CACHED)
+        self.sidecar.apply_list(config.known, ListForm.CACHED)
 
     def peers_say(self, *up: str) -> None:
         """Two peers, of all servers, those that this sidecar has not listed too."""
@@ -44,7 +44,7 @@
             self.sidecar.outside.peer_list(peer, PEERS, 0, TOP, lambda shared: shared in ids)
 
     def list(self, *rows: dict[str, object], complete: bool = False, revision: int = 3) -> None:
-        self.sidecar.listed(self.names.member_list(member_list(revision, list(rows), complete)))
+        self.sidecar.apply_list(self.names.member_list(member_list(revision, list(rows), complete)))
 
     async def reached(self) -> set[int]:
         """The servers that some calls go to; all are answered."""
--- a/tests/test_drain_lists.py
+++ b/tests/test_drain_lists.py
@@ -128,7 +128,9 @@
         await it.grace()
         await serve(it, "after")
         assert served(it, "s-0", "after") == 0
-        assert not [p for p in it.it.service._endpoints._pools.values() if p.name == "s-0" and p.open_to_new]
+        assert not [
+            p for p in it.it.service._endpoints._pools.values() if p.name == "s-0" and p.accepts_requests
+        ]
 
 
 @pytest.mark.parametrize("end", [b"", b"0\r\n\r\n"], ids=["cut off", "in order"])
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -62,7 +62,7 @@
     sidecar = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16))
     module = Module(decide)
     sidecar.decisions.module = module
-    sidecar.listed(config.known, ListForm.CACHED)
+    sidecar.apply_list(config.known, ListForm.CACHED)
     yield Driven(sidecar, module)
 
 
@@ -146,7 +146,7 @@
         it.take()
         raw = member_list(2, [member("s-0", endpoint.address, "draining")], complete=False)
         config = load(write_config(tmp_path, endpoint.address, []))
-        it.sidecar.listed(config.names.member_list(raw))
+        it.sidecar.apply_list(config.names.member_list(raw))
         first, second = it.module.events[-2:]
         assert isinstance(first, api.EndpointList) and isinstance(second, api.Outcome)
         assert second.status is api.Status.CONNECT_FAILED and not endpoint.requests
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -170,7 +170,7 @@
         driver = Driver(endpoint.address)
         attempt = driver.send()
         await until(lambda: len(endpoint.requests) == 1)
-        attempt.give_up(Status.CANCELLED)
+        attempt.abort(Status.CANCELLED)
         endpoint.connections[0][1].write(OK)
         await until(lambda: endpoint.ended == 1)
         assert [a.status for a in driver.ends] == [Status.CANCELLED]
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,7 +6,7 @@
 import time
 
 from anisespool.config import Address
-from anisespool.discovery.object_decoder import Lines
+from anisespool.discovery.object_decoder import ObjectDecoder
 from tests.net import member, member_list
 
 PIECE = 1448  # bytes: a segment of TCP
@@ -21,7 +21,7 @@
     """Of reading it in pieces: the least of some runs."""
     took = []
     for _ in range(5):
-        lines, began = Lines(), time.process_time_ns()
+        lines, began = ObjectDecoder(), time.process_time_ns()
         for n in range(0, len(data) - 1, PIECE):
             assert not lines.feed(data[n : min(n + PIECE, len(data) - 1)])
         took.append(time.process_time_ns() - began)
@@ -31,7 +31,7 @@
 def test_a_list_in_pieces_is_what_it_is_as_a_whole() -> None:
     data = b"\n" + whole_list(300) + b"\n" + whole_list(20)
     for piece in (1, 7, PIECE, len(data)):
-        lines, found = Lines(), []
+        lines, found = ObjectDecoder(), []
         for n in range(0, len(data), piece):
             found += lines.feed(data[n : n + piece])
         assert [len(each["members"]) for each in found] == [300, 20], piece
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -13,8 +13,8 @@
 
 from anisespool.config import Address, MemberList, load
 from anisespool.discovery import clock
-from anisespool.discovery.deadline import TOLD_S, Failure
-from anisespool.discovery.watch import Move, Watch
+from anisespool.discovery.deadline import UPDATE_DEADLINE_S, CallFailure
+from anisespool.discovery.watch import AddressChange, Watch
 from tests.net import Discovery, Peer, member, member_list, read_request, reset, until, write_config
 from tests.support import SECOND
 
@@ -86,10 +86,10 @@
         await asyncio.sleep(down_s)  # the outage itself: calls fail and pauses grow meanwhile
         discovery.up, back = True, monotonic()
         try:
-            async with asyncio.timeout(TOLD_S):
+            async with asyncio.timeout(UPDATE_DEADLINE_S):
                 await until(lambda: len(told) == fleet_size)
         except TimeoutError:
-            pytest.fail(f"{name}: {len(told)} told in {TOLD_S} s; {dict(discovery.outcomes)}")
+            pytest.fail(f"{name}: {len(told)} told in {UPDATE_DEADLINE_S} s; {dict(discovery.outcomes)}")
         finally:
             for task in (working, *tasks):
                 task.cancel()
@@ -115,23 +115,23 @@
 ) -> None:
     """In force since the terms of the stricter acceptance: told 6 s after the return, whatever failed."""
     for _ in range(100):
-        calls, began_s = clock.CallClock(fleet_size, 10.0, 0.0), 0.0
+        calls, began_s = clock.CallSchedule(fleet_size, 10.0, 0.0), 0.0
         for _ in range(8):
             given_up_s = calls.head_due_at(began_s)
             assert given_up_s > began_s + QUEUE_S  # it has been served or refused by then, if anything
-            next_s = given_up_s + calls.failed(began_s, given_up_s, Failure.HUNG)
-            assert next_s + QUEUE_S < began_s + TOLD_S
+            next_s = given_up_s + calls.call_failed(began_s, given_up_s, CallFailure.HUNG)
+            assert next_s + QUEUE_S < began_s + UPDATE_DEADLINE_S
             began_s = next_s
-        first_s = clock.CallClock(fleet_size, 10.0, 0.0).start_delay(True)
-        ended_s = clock.CallClock(fleet_size, 10.0, 0.0).ended(0.0)
+        first_s = clock.CallSchedule(fleet_size, 10.0, 0.0).start_delay(True)
+        ended_s = clock.CallSchedule(fleet_size, 10.0, 0.0).watch_ended(0.0)
         for began_s in (first_s, ended_s):
             for waited_s in (0.0, QUEUE_S):  # refused at once, or after the longest wait
-                calls = clock.CallClock(fleet_size, 10.0, 0.0)
+                calls = clock.CallSchedule(fleet_size, 10.0, 0.0)
                 failed_s = began_s + waited_s
-                next_s = failed_s + calls.failed(began_s, failed_s, Failure.REFUSED)
-                assert next_s + QUEUE_S < TOLD_S
-        calls.heard(0.0)
-        assert calls.renewal_at() + QUEUE_S < TOLD_S
+                next_s = failed_s + calls.call_failed(began_s, failed_s, CallFailure.REFUSED)
+                assert next_s + QUEUE_S < UPDATE_DEADLINE_S
+        calls.line_received(0.0)
+        assert calls.renewal_at() + QUEUE_S < UPDATE_DEADLINE_S
 
 
 class Overtaken(Peer):
@@ -152,8 +152,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Two lists out of order, and a server that drains is up again for as long as nothing changes."""
-    monkeypatch.setattr(clock, "SIGN_S", 0.1)
-    monkeypatch.setattr(clock, "LATE_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_INTERVAL_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_SLACK_S", 0.1)
     heard: list[int] = []
 
     def say(writer: asyncio.StreamWriter, revision: int, phase: str) -> None:
@@ -180,14 +180,14 @@
 
 async def test_a_move_during_a_call_gives_the_call_up(tmp_path: Path) -> None:
     """The old address takes no new connection, and what the new one has counts 4 s after SIGHUP."""
-    moves = asyncio.Queue[Move]()
+    moves = asyncio.Queue[AddressChange]()
     async with Booked(1.0, True).serve() as old, Discovery().serve() as new:
         old.up = False
         config = load(write_config(tmp_path, old.address, []))
         calls = Watch(old.address, config.names, MemberList(1, True, ()), 2, 10 * SECOND, lambda update: None)
         task = asyncio.create_task(calls.follow(moves))
         await until(lambda: bool(old.connections))
-        moves.put_nowait(Move(new.address, monotonic()))
+        moves.put_nowait(AddressChange(new.address, monotonic()))
         async with asyncio.timeout(1.0):
             await until(lambda: bool(new.connections))
             assert await old.connections[0][0].read() != b"" and await old.connections[0][0].read() == b""
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -230,7 +230,7 @@
 
 
 async def test_a_head_asks_for_no_body(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "REST_S", 0.0)  # or the next request would go on another connection
+    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)  # or the next request would go on another connection
     play = b"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n"
     async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -76,7 +76,7 @@
 async def test_a_kept_connection_goes_on_after_a_long_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(endpoints, "REST_S", 0.0)  # or the next request would go on another connection
+    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)  # or the next request would go on another connection
     async with Endpoint(WAYS["told"]).serve() as endpoint, world(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         for n in range(3):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -146,7 +146,7 @@
         endpoints = Endpoints((), 10**9, 10**10, 16)
         orders: dict[str, Order] = {}
         sidecar = Sidecar(config, endpoints, orders)
-        sidecar.listed(config.known, ListForm.CACHED)
+        sidecar.apply_list(config.known, ListForm.CACHED)
         answers: list[Answer] = []
         for _ in range(8):  # all wait for the handshakes, as nothing else has run yet
             sidecar.take(Call(GET, 0, 0, 10**9, None, 0, False), answers.append)
@@ -163,7 +163,7 @@
     sidecar = Sidecar(config, Endpoints((), 10**9, 10**10, 16), orders)
     back_ns = now_ms * 1_000_000 - config.names.epoch_ns
     starts = [
-        sidecar.servers.ordered(_member(started_ns)).started_ns
+        sidecar.servers.effective_row(_member(started_ns)).started_ns
         for started_ns in (0, back_ns - 10**9, back_ns + 10**9)
     ]
     assert starts == [back_ns, back_ns, back_ns + 10**9]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -112,12 +112,12 @@
     sidecar, module = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16)), Module()
     sidecar.decisions.module = module
     members = [member(name, Address("127.0.0.1", 9)) for name in ("s-5", "s-3")]
-    sidecar.listed(config.names.member_list({"revision": 2, "complete": True, "members": members}))
+    sidecar.apply_list(config.names.member_list({"revision": 2, "complete": True, "members": members}))
     sidecar.outside.heard(api.PeerMessage(1, 0.5, SEEN))
     message = module.events[-1]
     assert isinstance(message, api.PeerMessage)
     assert [s.endpoint for s in message.observations] == [2, 1]  # s-3, s-5; it was told of no others
-    sidecar.listed(MemberList(3, True, ()))
+    sidecar.apply_list(MemberList(3, True, ()))
     sidecar.outside.heard(api.PeerMessage(1, 0.5, SEEN))
     assert module.events[-1] == api.PeerMessage(1, 0.5, ())
 
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -11,7 +11,7 @@
 import pytest
 
 from anisespool.config import Address, load
-from anisespool.discovery.deadline import TOLD_S
+from anisespool.discovery.deadline import UPDATE_DEADLINE_S
 from anisespool.front.server import Server
 from anisespool.front.timeouts import RECEIVE_IDLE_TIMEOUT_S
 from tests.fleet import Fleet, Relay
@@ -67,7 +67,7 @@
         kept = [not reader.at_eof() for reader, _ in crowd]
         assert not kept[0] and kept[-1]  # those that have rested longest have gone
         server = await asyncio.start_server(discovery._connected, *place)
-        async with asyncio.timeout(TOLD_S):
+        async with asyncio.timeout(UPDATE_DEADLINE_S):
             await until(lambda: bool(discovery.connections))
         discovery.say(member_list(9, [member("s-1", new.address)]))
         async with asyncio.timeout(2.0):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
-from anisespool.config import Address, MemberList, Names
+from anisespool.config import Address, MemberList, NameIndex
 from anisespool.servers import Servers
 from shuntlead.interface import EndpointState, ListForm
 from tests.net import member, member_list
 
-NAMES = Names({}, {}, {}, {}, 0)
+NAMES = NameIndex({}, {}, {}, {}, 0)
 PLACE = Address("127.0.0.1", 1)
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -87,8 +87,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A new stream that stops in the middle of its first object knows nothing yet."""
-    monkeypatch.setattr(clock, "SIGN_S", 0.1)
-    monkeypatch.setattr(clock, "LATE_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_INTERVAL_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_SLACK_S", 0.1)
     async with Held().serve() as discovery, watching(tmp_path, discovery.address) as revisions:
         await until(lambda: len(discovery.connections) == 1)
         (old_reader, old), *_ = discovery.connections
@@ -107,8 +107,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A long list over a slow network is not asked for again and again, and never taken."""
-    monkeypatch.setattr(clock, "SIGN_S", 0.1)
-    monkeypatch.setattr(clock, "LATE_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_INTERVAL_S", 0.1)
+    monkeypatch.setattr(clock, "HEARTBEAT_SLACK_S", 0.1)
     async with Held().serve() as discovery, watching(tmp_path, discovery.address) as revisions:
         for count in (1, 2, 3, 4):
             await until(lambda count=count: len(discovery.connections) >= count)  # type: ignore[misc]
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 
 from anisespool import withdrawals
-from anisespool.config import Address, MemberList, Names
+from anisespool.config import Address, MemberList, NameIndex
 from anisespool.servers import Servers
 from anisespool.state.records import Order
 from shuntlead.interface import ListForm
 from tests.net import member, member_list
 
-NAMES = Names({}, {}, {}, {}, 0)
+NAMES = NameIndex({}, {}, {}, {}, 0)
 PLACE = Address("127.0.0.1", 1)
 FLEET = 5
 
@@ -45,7 +45,7 @@
 
     def peer(self, sender: int, revision: int, *down: int) -> set[int]:
         standing = {f"s-{n}": n not in down for n in range(4)}
-        self.servers.refresh(self.servers.peer_said(sender, revision, standing))
+        self.servers.refresh(self.servers.peer_reported(sender, revision, standing))
         return self.in_use()
 
     def in_use(self) -> set[int]:
@@ -125,13 +125,13 @@
     now = [10**12]
     monkeypatch.setattr("anisespool.servers.time.monotonic_ns", lambda: now[0])
     for turn in range(3):  # an empty line every 2 s counts, silence does not
-        it.servers.refresh(it.servers.heard())
+        it.servers.refresh(it.servers.discovery_caught_up())
         assert it.in_use() == {1, 2, 3}
-        now[0] += withdrawals.FOLLOW_NS - 1 if turn != 1 else 10 * withdrawals.FOLLOW_NS
+        now[0] += withdrawals.REVISION_RESET_NS - 1 if turn != 1 else 10 * withdrawals.REVISION_RESET_NS
         if turn == 1:
-            it.servers.list_is_old()
+            it.servers.mark_list_stale()
     now[0] += 1
-    it.servers.refresh(it.servers.heard())
+    it.servers.refresh(it.servers.discovery_caught_up())
     assert it.in_use() == {0, 1, 2, 3, 4, 5} and not it.servers.is_behind
     assert it.tell(2, row(0, "draining"), complete=False) == {1, 2, 3, 4, 5}
     assert it.tell(3, row(0), complete=False) == {0, 1, 2, 3, 4, 5}
@@ -139,7 +139,7 @@
 
 def test_one_peer_with_a_later_list_is_enough_but_not_to_leave_nothing() -> None:
     it = Scene()
-    it.servers.list_is_old()
+    it.servers.mark_list_stale()
     assert it.peer(1, 4, 0) == {0, 1, 2, 3}  # older than the list in use
     assert it.peer(1, 6, 0, 1) == {2, 3}
     assert it.peer(2, 7, 0) == {1, 2, 3}  # the later word of two
@@ -149,19 +149,21 @@
 
 def test_what_peers_say_is_kept_of_few_peers_and_of_servers_that_one_has_as_out() -> None:
     it = Scene()
-    it.servers.list_is_old()
+    it.servers.mark_list_stale()
     for peer in range(200):
         it.peer(peer, 6 + peer, 0)
-    words = it.servers._withdrawals._words
-    assert {server: len(each) for server, each in words.items()} == {"s-0": withdrawals.MOST_WORDS}
+    words = it.servers._withdrawals._peer_reports
+    assert {server: len(each) for server, each in words.items()} == {
+        "s-0": withdrawals.MAX_REPORTS_PER_SERVER
+    }
     assert it.peer(3, 300) == {0, 1, 2, 3}  # the latest word
     assert it.tell(400, *map(row, range(4))) == {0, 1, 2, 3}
-    assert not words and not it.servers._withdrawals._words
+    assert not words and not it.servers._withdrawals._peer_reports
 
 
 def test_a_peers_word_holds_until_the_list_in_use_is_as_late() -> None:
     it = Scene()
-    it.servers.list_is_old()
+    it.servers.mark_list_stale()
     assert it.peer(1, 8, 0) == {1, 2, 3}
     assert it.tell(6, *map(row, range(4))) == {1, 2, 3}
     assert it.tell(7, row(0), complete=False) == {1, 2, 3}
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -13,15 +13,15 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from anisespool.config import Address, MemberList, Names
+from anisespool.config import Address, MemberList, NameIndex
 from anisespool.discovery import stream
-from anisespool.discovery.watch import Move, Watch
+from anisespool.discovery.watch import AddressChange, Watch
 from tests.net import member, member_list
 from tests.scale_fleet import virtual
 from tests.virtual_channel import opening
 
 ADDRESS = Address("discovery", 80)
-NAMES = Names({}, {}, {}, {}, 0)
+NAMES = NameIndex({}, {}, {}, {}, 0)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 EMPTY = b"1\r\n\n\r\n"
@@ -186,11 +186,11 @@
         self._news = asyncio.Event()
         known = NAMES.member_list(member_list(1, [member("s-0", Address("127.0.0.1", 1))]))
         self.watch = Watch(ADDRESS, NAMES, known, fleet_size, int(ASK_WITHIN_S * 1e9), self._on_list)
-        self.moves = asyncio.Queue[Move]()
+        self.moves = asyncio.Queue[AddressChange]()
         self.task = asyncio.create_task(self.watch.follow(self.moves))
 
     def move(self, address: Address) -> None:
-        self.moves.put_nowait(Move(address, asyncio.get_running_loop().time()))
+        self.moves.put_nowait(AddressChange(address, asyncio.get_running_loop().time()))
 
     def _on_list(self, update: MemberList) -> None:
         self.at.setdefault(update.revision, asyncio.get_running_loop().time())
