--- a/anisespool/discovery/stream.py
+++ b/anisespool/discovery/stream.py
@@ -15,7 +15,7 @@
 from anisespool.discovery.deadline import CallFailure
 from anisespool.discovery.object_decoder import ObjectDecoder
 from anisespool.errors import DiscoveryFault, DiscoveryRefused, DiscoveryUnreachable
-from anisespool.errors.system import SystemFailure, classify, described
+from anisespool.errors.system import SystemFailure, classify, to_fault
 from anisespool.log import fault
 
 
@@ -82,7 +82,7 @@
 
     def _log_unreachable(self, error: OSError | UnicodeError) -> None:
         if isinstance(error, OSError) and classify(error) is SystemFailure.NO_RESOURCES:
-            fault("discovery", described(error))
+            fault("discovery", to_fault(error))
             self._make_room()
         else:
             fault("discovery", DiscoveryUnreachable(f"{type(error).__name__}: {error}"))
--- a/anisespool/endpoints/endpoints.py
+++ b/anisespool/endpoints/endpoints.py
@@ -12,7 +12,7 @@
 from anisespool.endpoints.attempt import Attempt
 from anisespool.endpoints.connection import Connection
 from anisespool.endpoints.pool import REUSE_DELAY_S, Pool, PooledConnection
-from anisespool.errors.system import SystemFailure, classify, described, is_short_here
+from anisespool.errors.system import SystemFailure, classify, is_local_shortage, to_fault
 from anisespool.log import fault, say
 from shuntlead.interface import Status
 
@@ -135,7 +135,9 @@
         try:
             connection = await self._connect(pool, attempt)
         except OSError as error:
-            if is_short_here(error):  # the fault is in this host, not the server, and the request did not run
+            if is_local_shortage(
+                error
+            ):  # the fault is in this host, not the server, and the request did not run
                 failure_status = Status.MOOT
         except ValueError:  # invalid host name or port
             pass
@@ -167,7 +169,7 @@
                         )
                         return connection
                     except OSError as error:
-                        if not is_short_here(error):
+                        if not is_local_shortage(error):
                             shortage = None
                             raise
                         shortage = error
@@ -187,7 +189,7 @@
         """This host has run out of a resource: closes one idle connection, but not more than one per
         SHORTAGE_PAUSE_S, however many attempts wait."""
         if self._may_log():
-            fault("broken", described(shortage))
+            fault("broken", to_fault(shortage))
         now = time.monotonic()
         if now >= self._shortage_handled_at + SHORTAGE_PAUSE_S:
             self._shortage_handled_at = now
--- a/anisespool/errors/__init__.py
+++ b/anisespool/errors/__init__.py
@@ -1,5 +1,5 @@
-"""What goes wrong, by type: each says what was found, and what an operator can do. One module a room;
-docs/on-call.md lists them all."""
+"""Error types. Each error describes what was found, and its type says what an operator can do about it.
+There is one module for each area of the sidecar; docs/on-call.md lists all error types."""
 
 from anisespool.errors.admin import AdminFault, NoStore, NotDurable, NotServing, UnknownCall, UnknownServer
 from anisespool.errors.base import Fault
--- a/anisespool/errors/admin.py
+++ b/anisespool/errors/admin.py
@@ -1,4 +1,4 @@
-"""What a call of an operator is refused for."""
+"""Errors reported to operators on the admin socket."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 
 class AdminFault(Fault):
-    """The answer is a no; the text says why."""
+    """An operator's call was refused; the text says why."""
 
 
 class UnknownCall(AdminFault):
-    """The line is no call."""
+    """The line received is not a known call."""
 
     remedy = "one call and at most one argument a line, as docs/on-call.md lists them"
 
 
 class UnknownServer(AdminFault):
-    """No list since the start has named it."""
+    """No list received since the start contains the server."""
 
     remedy = "look the id up in the lines 'driver: endpoint N is ID'"
 
 
 class NotServing(AdminFault):
-    """This process takes no requests yet, or no more."""
+    """This process does not accept requests yet, or no longer does."""
 
     remedy = "ask again within 3 s; in an upgrade leave the other process as it is until this one says yes"
 
 
 class NotDurable(AdminFault):
-    """The order holds in this process, but the store has not kept it; the text says why."""
+    """The order is in force in this process but is not in the store; the text says why."""
 
     remedy = "mend the store: the order is written once that is done; until then a restart will not know it"
 
--- a/anisespool/errors/base.py
+++ b/anisespool/errors/base.py
@@ -1,16 +1,19 @@
-"""The root of all faults."""
+"""The base class of all error types."""
 
 from __future__ import annotations
 
 
 class Fault(Exception):
-    """`what` was found; the type's `remedy` is what an operator can do. str() gives both."""
+    """An error whose `description` says what was found, and whose type has a `remedy`: what an operator can
+    do about it. str() returns both."""
 
     remedy = ""
 
-    def __init__(self, what: str) -> None:
-        super().__init__(what)
-        self.what = what
+    def __init__(self, description: str) -> None:
+        super().__init__(description)
+        self.description = description
 
     def __str__(self) -> str:
-        return f"{self.what} [{type(self).__name__}: {self.remedy}]" if self.remedy else self.what
+        return (
+            f"{self.description} [{type(self).__name__}: {self.remedy}]" if self.remedy else self.description
+        )
--- a/anisespool/errors/configuration.py
+++ b/anisespool/errors/configuration.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start, or at SIGHUP."""
+"""Errors in the configuration that a sidecar reads at its start or at SIGHUP."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ConfigError(Fault, ValueError):
-    """The text names the variable or key, what was found and what is needed."""
+    """A variable or key has an invalid value; the text names it, what was found and what is expected."""
 
     remedy = (
-        "mend that variable or key and start again; "
-        "after SIGHUP the old configuration stays until the file can be read"
+        "correct that variable or key and restart; "
+        "after SIGHUP the old configuration stays in use until the file is valid"
     )
 
 
 class ConfigUnreadable(ConfigError):
-    """The file is not there, or is no JSON: it may be half written."""
+    """The file does not exist or is not valid JSON, perhaps because it is only partly written."""
--- a/anisespool/errors/discovery.py
+++ b/anisespool/errors/discovery.py
@@ -1,4 +1,4 @@
-"""Calls to discovery and what they bring. The last list stays in use meanwhile."""
+"""Errors in calls to discovery and in their answers. Meanwhile the last valid list stays in use."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 
 
 class DiscoveryFault(Fault):
-    """The list may be out of date."""
+    """Discovery is not answering as expected, so the server list may be out of date."""
 
-    remedy = "look at discovery; the sidecar calls again by itself"
+    remedy = "check discovery; the sidecar retries by itself"
 
 
 class DiscoveryUnreachable(DiscoveryFault):
-    """The call found nobody, or its connection broke."""
+    """The connection to discovery could not be opened, or was lost."""
 
-    remedy = "check that discovery runs at the address that the configuration names; else SIGHUP a new one"
+    remedy = (
+        "check that discovery runs at the configured address; otherwise change the address and send SIGHUP"
+    )
 
 
 class DiscoveryRefused(DiscoveryFault):
-    """An answer other than a watch: 503 where it is overloaded."""
+    """Discovery answered a call with an error status instead of a watch: 503 when it is overloaded."""
 
-    remedy = "discovery has more callers than it serves; it passes, as the calls of a fleet are spread"
+    remedy = "discovery has more callers than it can serve; it recovers, as sidecars spread their retries"
 
 
 class DiscoverySilent(DiscoveryFault):
-    """Not even the empty line of every 2 s, or no answer to a call."""
+    """A watch sent nothing, not even the empty line that is due every 2 s, or a call got no answer."""
 
-    remedy = "if it lasts, look for a cut between this machine and discovery; a new watch is called for"
+    remedy = "if it persists, check the network between this machine and discovery; a new watch is requested"
 
 
 class UnreadableList(DiscoveryFault):
-    """An object of the watch that is no list."""
+    """A JSON object sent on the watch is not a valid server list."""
 
-    remedy = "look at what discovery writes; that change is left out until the next list"
+    remedy = "check what discovery sends; this update is skipped, and the next list is read as usual"
--- a/anisespool/errors/limits.py
+++ b/anisespool/errors/limits.py
@@ -1,4 +1,4 @@
-"""The limits on descriptors and memory."""
+"""Errors about file descriptors, listening addresses and the time to shut down."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class NoDescriptors(Fault):
-    """None is left for a connection that waits."""
+    """No file descriptor is free for a waiting connection."""
 
-    remedy = "raise limits.sockets, or find in the resources: lines who holds them"
+    remedy = "raise limits.sockets, or find in the 'resources:' log lines what uses the descriptors"
 
 
 class AddressTaken(Fault):
-    """An address to listen on cannot be had at the start."""
+    """An address to listen on is in use at the start."""
 
-    remedy = "no fault while an earlier process ends, it is tried again for 10 s; else end what listens there"
+    remedy = "normal while an earlier process ends: retried for 10 s; otherwise stop what listens there"
 
 
 class NoRoomForClients(Fault):
-    """Connections were still in use when the time for a planned end was over."""
+    """Connections were still in use when the time for a graceful shutdown had elapsed."""
 
-    remedy = "nothing to do if it is rare; else look for clients that read no answers"
+    remedy = "nothing to do if it is rare; otherwise look for clients that do not read their answers"
--- a/anisespool/errors/peers.py
+++ b/anisespool/errors/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars: a help, no need."""
+"""Errors in datagrams between sidecars. A sidecar also serves without these datagrams."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class PeerAddressTaken(Fault):
-    """The address for datagrams cannot be had."""
+    """The address for datagrams is in use."""
 
-    remedy = "no fault in an upgrade, the old process holds it until it ends; else end what listens there"
+    remedy = "normal in an upgrade until the old process ends; otherwise stop what uses the address"
 
 
 class PeerMessageDropped(Fault):
-    """A datagram that is no message of this release, or of no peer."""
+    """A datagram was dropped: this release cannot read it, or its sender is not a peer."""
 
-    remedy = "usual while releases are mixed; else find who sends there"
+    remedy = "normal while releases are mixed; otherwise find out what sends to this address"
--- a/anisespool/errors/system.py
+++ b/anisespool/errors/system.py
@@ -1,6 +1,6 @@
-"""What a failed system call on a socket means: one classification of errno for all that call by hand.
+"""Classifies the errno of failed system calls on sockets, for all code that calls sockets directly.
 
-By the pages of Linux: accept(2), connect(2), socket(2), send(2), recv(2), tcp(7), ip(7)."""
+Sources: the Linux manual pages accept(2), connect(2), socket(2), send(2), recv(2), tcp(7) and ip(7)."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class SystemFailure(Enum):
-    """What the caller can do about it."""
+    """Classes of failures, by what the caller can do about them."""
 
-    NOTHING_TO_DO = auto()  # nothing is there yet: wait until the descriptor is ready
-    CONNECTION_GONE = auto()  # that one connection only: go on with the next
-    UNREACHABLE = auto()  # the peer, or the way to it, at present
-    NO_RESOURCES = auto()  # this machine is short of descriptors or buffers: make room and pause
-    NO_PORT = auto()  # this machine has no local port left for that peer: pause
-    FATAL = auto()  # a fault of ours, or unknown: pause, so that a repeat does not spin
+    WOULD_BLOCK = auto()  # not possible yet: wait until the descriptor is ready
+    CONNECTION_GONE = auto()  # only this connection has failed: continue with the next
+    UNREACHABLE = auto()  # the remote address cannot be reached at present
+    NO_RESOURCES = auto()  # out of descriptors or buffers on this machine: free some and pause
+    NO_PORT = auto()  # no local port is free for that remote address: pause
+    FATAL = auto()  # a bug here, or unknown: pause, so that retries do not spin
 
 
 _CLASSES: dict[SystemFailure, tuple[int, ...]] = {
-    SystemFailure.NOTHING_TO_DO: (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.EINPROGRESS,
+    SystemFailure.WOULD_BLOCK: (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.EINPROGRESS,
                                   errno.EALREADY),
     SystemFailure.CONNECTION_GONE: (errno.ECONNABORTED, errno.ECONNRESET, errno.EPIPE, errno.ENOTCONN,
                                     errno.ESHUTDOWN, errno.EPROTO, errno.ENOPROTOOPT, errno.EOPNOTSUPP),
@@ -38,26 +38,27 @@
 
 
 def classify(error: OSError) -> SystemFailure:
-    """The class of a failed call. A name that cannot be resolved leads to no peer."""
+    """The class of a failed call. A host name that cannot be resolved counts as unreachable."""
     if isinstance(error, socket.gaierror):
         return SystemFailure.UNREACHABLE
     return _BY_NUMBER.get(error.errno or 0, SystemFailure.FATAL)
 
 
-def concerns_one_peer(error: OSError) -> bool:
-    """Of accept(2): errors that were pending on the new connection, or a firewall's no to it. The next one in
-    the queue may be sound."""
+def affects_one_connection(error: OSError) -> bool:
+    """Whether a failed accept(2) concerns only the new connection: an error was pending on it, or a firewall
+    rejected it. The next connection in the queue may be usable."""
     return classify(error) in (SystemFailure.CONNECTION_GONE, SystemFailure.UNREACHABLE)
 
 
-def is_short_here(error: OSError) -> bool:
-    """Of socket(2) and connect(2): this machine has no descriptor, port or buffer for the call at present,
-    which says nothing about the peer."""
+def is_local_shortage(error: OSError) -> bool:
+    """Whether socket(2) or connect(2) failed because this machine has no free descriptor, port or buffer,
+    which says nothing about the remote side."""
     return classify(error) in (SystemFailure.NO_RESOURCES, SystemFailure.NO_PORT)
 
 
-def described(error: OSError, otherwise: type[Fault] | None = None) -> Fault | OSError:
-    """For the log, with its remedy: of a lack of resources, or of the fault that it is `otherwise`."""
+def to_fault(error: OSError, default: type[Fault] | None = None) -> Fault | OSError:
+    """The error with its remedy, for the log: NoDescriptors when resources are exhausted, otherwise an error
+    of type `default`, or `error` itself if there is no default."""
     if classify(error) is SystemFailure.NO_RESOURCES:
         return NoDescriptors(str(error))
-    return otherwise(str(error)) if otherwise else error
+    return default(str(error)) if default else error
--- a/anisespool/external_state.py
+++ b/anisespool/external_state.py
@@ -9,7 +9,7 @@
 from anisespool.log import say
 from anisespool.peers import Peers
 from anisespool.servers import Servers, abbreviate
-from anisespool.state.persisted_rows import LearnedRow, PinRow, Remembered, VerdictRow
+from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow, VerdictRow
 from anisespool.state.records import now_ms
 from shuntlead import interface as api
 
@@ -26,7 +26,7 @@
         self.peers: Peers | None = None  # where datagrams go
         self.on_reports: Callable[[int, tuple[api.TenantReport, ...]], None] = lambda peer, reports: None
         self._shared_reports = api.ShareReports((), (), (), ())
-        self._remembered = Remembered((), ())
+        self._remembered = PersistedState((), ())
         self.on_remember: Callable[[], None] = lambda: None  # unasked too: a verdict is not to be lost
         self.on_pin: Callable[[PinRow], None] = lambda row: None
         self.on_verdicts: Callable[[int, Sequence[api.Ejection]], None] = lambda peer, rows: None
@@ -108,12 +108,12 @@
 
     # What outlives the process --------------------------------------------------------------------
 
-    def snapshot(self) -> Remembered:
+    def snapshot(self) -> PersistedState:
         """What the module knows now that its next process should."""
         self._handle(api.TakeSnapshot())
         return self._remembered
 
-    def recall(self, remembered: Remembered, pins: Sequence[PinRow]) -> None:
+    def recall(self, remembered: PersistedState, pins: Sequence[PinRow]) -> None:
         """What an earlier process knew, of servers that are listed now."""
         now, known = now_ms(), self.servers.numbers
         self._handle(
@@ -128,7 +128,7 @@
 
     def _remember(self, action: api.Snapshot) -> None:
         now, ids = now_ms(), self.servers.ids
-        self._remembered = Remembered(
+        self._remembered = PersistedState(
             [LearnedRow(ids[s.endpoint], s.slowdown, s.queue, now - s.age_ns // 1_000_000)
              for s in action.observations if s.endpoint in ids],
             [VerdictRow(ids[v.endpoint], now + v.left_ns // 1_000_000, v.reason)
--- a/anisespool/fleet/__init__.py
+++ b/anisespool/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet state: what sidecars share with each other, and with the other process of an upgrade."""
+"""State that sidecars share with each other, and with the other process of an upgrade."""
--- a/anisespool/fleet/shared_state.py
+++ b/anisespool/fleet/shared_state.py
@@ -1,5 +1,6 @@
-"""Fleet state on the wire: tenants' rates and verdicts on servers, by datagrams between sidecars. The
-decisions are in shuntlead/quotas.py and shuntlead/outliers.py; docs/fleet-state.md has the bounds."""
+"""Sends and receives the state that sidecars share by datagrams: tenants' request rates, and verdicts, which
+name the servers that a sidecar has ejected. How they are used is decided in shuntlead/quotas.py and
+shuntlead/outliers.py; docs/fleet-state.md lists the limits."""
 
 from __future__ import annotations
 
@@ -9,48 +10,50 @@
 
 from anisespool.clock import CLOCK
 from anisespool.external_state import Outside
-from anisespool.fleet.clock_offsets import HALF_RANGE_MS, Offsets, behind_ms
+from anisespool.fleet.clock_offsets import HALF_RANGE_MS, ClockOffsets, behind_ms
 from anisespool.peers import MAX_DATAGRAM, Peers
 from shuntlead.interface import Ejection, Status, TenantReport
 from shuntlead.peer_codec import decode_reports, encode_reports
 
-OUT, RATES = b"\x04", b"\x05"  # the kinds of datagrams
-_OUT = struct.Struct("<IBB")  # shared id of the server, time left in LEFT_NS, status
-LEFT_NS = 200_000_000
-MOST_OUT = (MAX_DATAGRAM - 1) // _OUT.size
+EJECTIONS, RATES = b"\x04", b"\x05"  # the first byte of a datagram: its type
+_EJECTION = struct.Struct("<IBB")  # shared id of the server, LEFT_UNIT_NS left, reason (a Status)
+LEFT_UNIT_NS = 200_000_000
+MAX_EJECTIONS = (MAX_DATAGRAM - 1) // _EJECTION.size
 
 
 def clock_ms() -> int:
-    """Unix time; of the one clock that all machines read, as far as it has not stepped."""
+    """Unix time by the steady clock; the same on all machines unless one of their clocks was stepped."""
     return CLOCK.unix_ms()
 
 
-def verdicts_datagrams(rows: Sequence[Ejection]) -> list[bytes]:
-    """The datagrams that tell what is ejected, by shared ids."""
-    packed = [_OUT.pack(v.endpoint, max(1, min(255, v.left_ns // LEFT_NS)), v.reason) for v in rows]
-    return [OUT + b"".join(packed[n : n + MOST_OUT]) for n in range(0, len(packed), MOST_OUT)]
+def encode_verdicts(rows: Sequence[Ejection]) -> list[bytes]:
+    """The datagrams that tell peers which servers are ejected, identified by shared ids."""
+    packed = [_EJECTION.pack(v.endpoint, max(1, min(255, v.left_ns // LEFT_UNIT_NS)), v.reason) for v in rows]
+    return [EJECTIONS + b"".join(packed[n : n + MAX_EJECTIONS]) for n in range(0, len(packed), MAX_EJECTIONS)]
 
 
 class FleetState:
-    """Hands the module what peers tell of tenants and servers, and tells them what it decides to."""
+    """Passes what peers send about tenants and servers to the balancing module (shuntlead), and sends peers
+    what it decides to share."""
 
     def __init__(self, peers: Peers, outside: Outside) -> None:
-        self._peers, self._outside, self._offsets = peers, outside, Offsets()
-        peers.handle(OUT, self._on_verdicts)
+        self._peers, self._outside, self._offsets = peers, outside, ClockOffsets()
+        peers.handle(EJECTIONS, self._on_verdicts)
         peers.handle(RATES, self._on_rates)
-        outside.on_verdicts, outside.on_reports = self._tell_verdicts, self._tell_rates
+        outside.on_verdicts, outside.on_reports = self._send_verdicts, self._send_rates
 
-    def _tell_verdicts(self, peer: int, rows: Sequence[Ejection]) -> None:
-        for data in verdicts_datagrams(rows):
+    def _send_verdicts(self, peer: int, rows: Sequence[Ejection]) -> None:
+        for data in encode_verdicts(rows):
             self._peers.send(peer, data)
 
-    def _tell_rates(self, peer: int, reports: tuple[TenantReport, ...]) -> None:
+    def _send_rates(self, peer: int, reports: tuple[TenantReport, ...]) -> None:
         self._peers.send(peer, RATES + encode_reports(reports, clock_ms()))
 
     def _on_verdicts(self, sender: int, data: bytes) -> bool:
-        if not data or len(data) % _OUT.size:
+        if not data or len(data) % _EJECTION.size:
             return False
-        rows = [Ejection(n, left * LEFT_NS, Status(status)) for n, left, status in _OUT.iter_unpack(data)
+        rows = [Ejection(n, left * LEFT_UNIT_NS, Status(status))
+                for n, left, status in _EJECTION.iter_unpack(data)
                 if status in Status._value2member_map_]  # fmt: skip
         self._outside.peer_verdicts(sender, rows)
         return True
--- a/anisespool/front/listener.py
+++ b/anisespool/front/listener.py
@@ -13,10 +13,10 @@
 from anisespool.errors import AddressTaken, ConfigError
 from anisespool.errors.system import (
     SystemFailure,
+    affects_one_connection,
     classify,
-    concerns_one_peer,
-    described,
-    is_short_here,
+    is_local_shortage,
+    to_fault,
 )
 from anisespool.log import fault
 from anisespool.waiting import first_of
@@ -66,7 +66,7 @@
         try:
             return listen()
         except OSError as error:
-            if not is_short_here(error) or time.monotonic() >= until_s:
+            if not is_local_shortage(error) or time.monotonic() >= until_s:
                 raise ConfigError(f"{name}: {error}") from None
             if not logged:
                 logged = True
@@ -110,9 +110,9 @@
                 connected, _ = self._listener.accept()
             except OSError as error:
                 last_error = error
-                if concerns_one_peer(error):
+                if affects_one_connection(error):
                     continue
-                if classify(error) is not SystemFailure.NOTHING_TO_DO:
+                if classify(error) is not SystemFailure.WOULD_BLOCK:
                     self._retry_later(error)
                 return
             accepted = True
@@ -128,6 +128,6 @@
         self._retry_timer = loop.call_later(self._retry_delay_s, self.start)
         if time.monotonic() >= self._logged_at + ACCEPT_LOG_INTERVAL_S:
             self._logged_at = time.monotonic()
-            fault(self._topic, described(error))
+            fault(self._topic, to_fault(error))
         if classify(error) is SystemFailure.NO_RESOURCES:
             self._make_room()
--- a/anisespool/maintenance.py
+++ b/anisespool/maintenance.py
@@ -13,7 +13,7 @@
 
 from anisespool.errors import NotDurable, StoreError
 from anisespool.log import say
-from anisespool.state.pending_writes import OwedWrite
+from anisespool.state.pending_writes import PendingWrite
 from anisespool.state.store import Order, Store, now_ms
 from anisespool.upgrade_locks import Pair
 
@@ -34,14 +34,14 @@
         self._complaint = ""
         self._unstored: dict[str, Order] = {}  # in force here, and owed to the store
         self._has_unread = False  # the last read of the store failed
-        self._owed = OwedWrite(
+        self._owed = PendingWrite(
             "maintenance", "the orders cannot be stored or read", "the orders are stored and read again",
             self._settle,
         )  # fmt: skip
         if store:
             store.on_new_file.append(self._new_file)
             if not store.is_open:
-                self._owed.mark()
+                self._owed.schedule()
 
     @staticmethod
     def legacy_place(folder: Path | None, name: str) -> Path | None:
@@ -54,7 +54,7 @@
         if not found:
             return
         try:
-            taken = await self.store.merge(found) if self.store else found
+            taken = await self.store.merge_orders(found) if self.store else found
         except StoreError as error:
             self._unstored |= found
             self._fail(error)
@@ -72,7 +72,7 @@
             self._unstored[server] = self.orders[server]
         unstored = dict(self._unstored)
         try:
-            order = await self.store.order(server, out, unstored)
+            order = await self.store.set_order(server, out, unstored)
         except StoreError as error:
             self._fail(error)
             raise NotDurable(f"{server} is ordered in this process only, as the store {error}") from None
@@ -103,7 +103,7 @@
         if self.store is None:
             return
         try:
-            if self.store.changed() or due:
+            if self.store.has_changed() or due:
                 self._has_unread = True
             if self._has_unread:
                 self._read()
@@ -125,13 +125,13 @@
             self._read()
         if self._unstored or not self.store.is_open:
             unstored = dict(self._unstored)
-            await self.store.merge(unstored)
+            await self.store.merge_orders(unstored)
             self._stored(unstored)
 
     def _fail(self, error: StoreError) -> None:
         """The store could not be read or written: both are owed from now on."""
-        self._owed.failed(error)
-        self._owed.mark()
+        self._owed.report_failure(error)
+        self._owed.schedule()
 
     def _stored(self, orders: dict[str, Order]) -> None:
         """But for those that a later one has replaced meanwhile."""
@@ -142,7 +142,7 @@
     def _new_file(self) -> None:
         """All that is in force is owed to it, and all that it has is to be in force."""
         self._unstored = dict(self.orders)
-        self._owed.mark()
+        self._owed.schedule()
         self.read(True)
 
     def _take(self, found: dict[str, Order]) -> None:
--- a/anisespool/peers.py
+++ b/anisespool/peers.py
@@ -11,7 +11,7 @@
 
 from anisespool.config import Address, PeerAddresses
 from anisespool.errors import PeerAddressTaken, PeerMessageDropped
-from anisespool.errors.system import described
+from anisespool.errors.system import to_fault
 from anisespool.log import fault
 from shuntlead import interface as api
 from shuntlead.peer_codec import decode_peer_message, encode_peer_message
@@ -51,7 +51,7 @@
             except OSError as error:
                 if not complained:
                     complained = True
-                    fault("peers", described(error, PeerAddressTaken))
+                    fault("peers", to_fault(error, PeerAddressTaken))
                 await asyncio.sleep(OPEN_AGAIN_S)
 
     def close(self) -> None:
--- a/anisespool/service.py
+++ b/anisespool/service.py
@@ -14,7 +14,7 @@
 from anisespool.discovery.watch import AddressChange, Watch
 from anisespool.endpoints import Endpoints
 from anisespool.fleet.shared_state import FleetState
-from anisespool.fleet.upgrade_rates import BesideRates
+from anisespool.fleet.upgrade_rates import UpgradeRates
 from anisespool.front.listener import open_listener, open_with_retry
 from anisespool.front.server import Server
 from anisespool.front.shutdown import Shutdown
@@ -23,8 +23,8 @@
 from anisespool.maintenance import Maintenance
 from anisespool.sidecar import Sidecar
 from anisespool.sockets import callback_failed
-from anisespool.state.clock import keep, resume
-from anisespool.state.learned_state import Memory
+from anisespool.state.clock import restore_clock, save_clock
+from anisespool.state.learned_state import LearnedState
 from anisespool.state.list_snapshot import Entry, ListSnapshot
 from anisespool.state.peer_lists import WarmStart
 from anisespool.state.store import Store
@@ -51,7 +51,7 @@
         )
         self._store = Store.attach(config.state_dir, config.name) if config.state_dir else None
         if self._store:  # all that is dated below goes by this clock
-            resume(CLOCK, self._store)
+            restore_clock(CLOCK, self._store)
         self._pair = Pair(config.folder or config.state_dir, config.name,
                           self._share if config.inherited_fd is not None else None)  # fmt: skip
         legacy = Maintenance.legacy_place(config.folder, config.name)
@@ -67,7 +67,7 @@
         outside = self._sidecar.outside
         # Keys that have to be kept: where all servers drop a repeat, any of them may get it.
         keeps_pins = any(c.effect is Effect.BY_KEY and c.dedup_scope != "all" for c in settings.classes)
-        self._memory = Memory(self._store, self._pair, outside, keeps_pins) if self._store else None
+        self._memory = LearnedState(self._store, self._pair, outside, keeps_pins) if self._store else None
         self._watch = Watch(
             config.discovery, config.names, config.known, settings.fleet_size, settings.ask_within_ns,
             self._sidecar.apply_list, at_once=config.inherited_fd is not None or settings.discovery == "push",
@@ -76,7 +76,7 @@
         )  # fmt: skip
         self._watch.make_room = self._server.make_room
         self._sidecar.read_pending = self._watch.read_pending
-        self._beside = BesideRates(self._store, outside) if self._store else None
+        self._beside = UpgradeRates(self._store, outside) if self._store else None
         self._warm = None
         if self._sidecar.peers:
             self._fleet = FleetState(self._sidecar.peers, outside)
@@ -110,7 +110,7 @@
             return
         known = self._config.known
         if self._snapshot:  # `known` may name as up what drained long since
-            known = self._snapshot.loaded(self._config.names, known)
+            known = self._snapshot.load(self._config.names, known)
         self._sidecar.apply_list(known, ListForm.CACHED)
         self._watch.revision = known.revision  # what is asked for is what follows the list in use
         if self._memory:
@@ -122,7 +122,7 @@
         elif self._config.settings.discovery == "push":
             await first_of((self._watch.list_received, stop, self._watch.call_failed), PUSHED_WAIT_S)
         if self._config.inherited_fd is None and self._warm:
-            await self._warm.ask(self._watch.list_received)
+            await self._warm.query_peers(self._watch.list_received)
             tasks.append(loop.create_task(supervise("what peers' lists say", self._follow_peers)))
         await asyncio.sleep(self._pair.unknown_s())  # or its first keys would be unknown there
         address = await open_with_retry(*self._listener(), stop)
@@ -160,7 +160,7 @@
         yield "the locks of an upgrade", self._pair.follow
         yield "the orders of operators", self._maintenance.follow
         if store := self._store:
-            yield "the stored clock", lambda: keep(CLOCK, store)  # no start waits for the disk
+            yield "the stored clock", lambda: save_clock(CLOCK, store)  # no start waits for the disk
         if self._snapshot:
             yield "the stored list", self._snapshot.follow
         if self._memory:
@@ -178,7 +178,7 @@
         """A line of discovery has been taken up."""
         if self._snapshot:
             servers = self._sidecar.servers
-            self._snapshot.heard(raw, update, servers.is_behind, servers.is_withdrawn)
+            self._snapshot.on_update(raw, update, servers.is_behind, servers.is_withdrawn)
 
     async def _flush(self) -> None:
         """What is still owed to the store, in a last attempt."""
@@ -190,7 +190,7 @@
         say("upgrade", "two processes share the limits" if two else "one process")
         clients, servers = shares(self._config, two)
         if self._beside:
-            self._beside.two = two
+            self._beside.has_other_process = two
         self._server.set_connection_limit(clients)
         self._endpoints.limit(servers)
 
--- a/anisespool/state/__init__.py
+++ b/anisespool/state/__init__.py
@@ -1,1 +1,2 @@
-"""Recovery after a crash or a power loss: the state store, and what it keeps of a sidecar."""
+"""Recovery after a restart, a crash or a power loss: the state store and what it holds for a sidecar, and the
+server lists that a starting sidecar gets from its peers."""
--- a/anisespool/state/connections.py
+++ b/anisespool/state/connections.py
@@ -1,4 +1,4 @@
-"""Opening the store's file: the loads are counted, and a damaged file is set aside."""
+"""Opens the connections to the store's file: counts the loads and sets a damaged file aside."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 
 from anisespool.errors import StoreError
 from anisespool.state import tables
-from anisespool.state.crash_guard import LOADS_BEFORE_ASIDE, LoadGuard, set_aside
+from anisespool.state.crash_guard import MAX_FAILED_LOADS, LoadGuard, set_aside
 
-_CONTENTION = sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED
-_PRIMARY = 0xFF  # of an extended error code of SQLite
+_CONTENTION_CODES = sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED
+_PRIMARY_CODE_MASK = 0xFF  # the primary part of an extended SQLite error code
 
 
 class Connections(NamedTuple):
+    """Two connections to the same file, as reads and writes run on different threads."""
+
     reader: sqlite3.Connection
     writer: sqlite3.Connection
 
 
 def connect(path: Path) -> Connections:
-    """Raises OSError, sqlite3.Error or StoreError where the store cannot be had now."""
+    """Open the store, or a new one in place of a damaged one. Raises OSError, sqlite3.Error or StoreError if
+    it cannot be opened now."""
     guard = LoadGuard(path)
-    if guard.starts_failed() >= LOADS_BEFORE_ASIDE:
+    if guard.failed_loads() >= MAX_FAILED_LOADS:
         set_aside(path, "the last starts ended while loading it")
     guard.begin()
     try:
         return _connect(path)
     except sqlite3.OperationalError:
-        raise  # the file is busy, or cannot be opened: nothing says that it is damaged
+        raise  # the file is busy or cannot be opened, which does not mean that it is damaged
     except (sqlite3.DatabaseError, StoreError) as error:
         set_aside(path, str(error))
         return _connect(path)
     finally:
-        guard.end()  # a load that raised did not end the process: it says nothing of a crash loop
+        guard.end()  # also after an exception, which did not crash the process
 
 
 def _connect(path: Path) -> Connections:
@@ -47,6 +50,6 @@
 
 
 def is_contention(error: Exception) -> bool:
-    """Another connection holds the file, and this one is as good as before."""
+    """Whether another connection has locked the file, so that this connection is still usable."""
     code = getattr(error, "sqlite_errorcode", None)
-    return code is not None and code & _PRIMARY in _CONTENTION
+    return code is not None and code & _PRIMARY_CODE_MASK in _CONTENTION_CODES
--- a/anisespool/state/crash_guard.py
+++ b/anisespool/state/crash_guard.py
@@ -1,4 +1,4 @@
-"""What keeps a damaged store from making a crash loop: a count of loads, and setting it aside."""
+"""Prevents a damaged store from causing a crash loop: counts unfinished loads and sets the store aside."""
 
 from __future__ import annotations
 
@@ -8,39 +8,43 @@
 
 from anisespool.state.records import log, now_ms
 
-LOADS_BEFORE_ASIDE = 2  # loads that never ended: the third start sets the file aside (crash-loop guard)
+MAX_FAILED_LOADS = 2  # consecutive loads that did not finish; the next start sets the file aside
 
 
 class LoadGuard:
-    """Counts loads that began and never ended, in a file beside the store: where the store itself makes a
-    start crash, it cannot hold the count. A disk that does not take the file costs the count alone: the store
-    may well be read, and it says which servers are out."""
+    """Counts loads of the store that began and did not finish, in a separate file, since a store that crashes
+    the process on loading cannot hold the count. If that file cannot be written, only the count is lost: the
+    store itself may still be readable, and it says which servers operators have taken out."""
 
     def __init__(self, path: Path) -> None:
         self._path = path.with_name(path.name + ".loading")
 
-    def starts_failed(self) -> int:
+    def failed_loads(self) -> int:
+        """How many loads in a row did not finish; the maximum if the file is malformed."""
         try:
             return int(self._path.read_text() or 0)
         except ValueError:
-            return LOADS_BEFORE_ASIDE
-        except OSError:  # it is not there, or cannot be read
+            return MAX_FAILED_LOADS
+        except OSError:  # the file does not exist or cannot be read
             return 0
 
     def begin(self) -> None:
+        """Record that a load has begun."""
         with suppress(OSError):
-            self._path.write_text(str(self.starts_failed() + 1))
+            self._path.write_text(str(self.failed_loads() + 1))
 
     def end(self) -> None:
+        """Record that the load has ended, with or without an error."""
         with suppress(OSError):
             self._path.unlink()
 
 
-def set_aside(path: Path, why: str) -> None:
-    """A damaged file loaded again at every start would make a crash loop of one fault."""
-    aside = path.with_name(f"{path.name}.aside-{now_ms()}")
+def set_aside(path: Path, reason: str) -> None:
+    """Rename the files of a store so that a new one is created. Loading a damaged file again at every start
+    would turn one fault into a crash loop."""
+    target = path.with_name(f"{path.name}.aside-{now_ms()}")
     for suffix in ("", "-wal", "-shm", ".loading"):
         source = path.with_name(path.name + suffix)
         if source.exists():
-            os.replace(source, aside.with_name(aside.name + suffix))
-    log(f"the store is set aside as {aside.name}, and a new one begun: {why}")
+            os.replace(source, target.with_name(target.name + suffix))
+    log(f"the store is set aside as {target.name}, and a new one is created: {reason}")
--- a/anisespool/state/peer_lists.py
+++ b/anisespool/state/peer_lists.py
@@ -1,10 +1,11 @@
-"""Warm start from peers: a sidecar that has just started asks a few others which servers their lists have as
-up, before its own first list has come; they answer with what they hold ejected, too. It asks again while its
-list is old, as discovery's watch was lost and no call has brought another. The decisions are in
-anisespool/withdrawals.py; here are the datagrams (256 bytes at most each) and the waiting.
-
-A list goes out in parts, each for itself: of the servers whose shared ids lie from LOW to HIGH, just those
-named are up. A part that is lost leaves its servers as they were.
+"""Warm start from peers: a sidecar that has just started asks some peers which servers are up by their lists,
+until it has received its own first list. The peers also answer which servers they have ejected. A sidecar
+asks again while its list is old, that is, when it has lost its watch on discovery and no call has returned a
+newer list. This module has the datagrams (at most 256 bytes each) and the waiting; anisespool/withdrawals.py
+decides what the answers change.
+
+A list is sent in independent parts. A part says that of the servers whose shared ids are from `low` to
+`high`, exactly those in the part are up. If a part is lost, nothing changes for the servers in its range.
 """
 
 from __future__ import annotations
@@ -20,96 +21,108 @@
 from anisespool.peers import MAX_DATAGRAM, Peers
 from shuntlead.outliers import quorum
 
-ASK, PART = b"\x02", b"\x03"  # the kinds of datagrams
-_ASK = struct.Struct("<II?")  # nonce, digest of what the asker's list has as up, whether it wants sightings
-_PART = struct.Struct("<IQBBII")  # nonce, revision, number, parts (0: no list yet, or the same), low, high
-_ID = struct.Struct("<H")  # the low half: of a part's servers one in a thousand that is not up passes for up
-_ID_MASK = 0xFFFF
-MOST_IDS = (MAX_DATAGRAM - 1 - _PART.size) // _ID.size
-MOST_PARTS = 16  # of one answer: some 1800 servers
-TOP = 0xFFFFFFFF
-ASKED = 3, 9  # peers in each round: of a fleet that a release restarts, most have no list themselves
-AGAIN_S = 1.0  # between later rounds, until discovery's first list or while the list is old
+QUERY, LIST_PART = b"\x02", b"\x03"  # the first byte of a datagram: its type
+_QUERY = struct.Struct("<II?")  # nonce, digest of the servers up by the asker's list, wants sightings
+_PART = struct.Struct("<IQBBII")  # nonce, revision, number, parts (0: no list, or the same), low, high
+# The low half of a shared id. Ids may collide: about one in a thousand servers that are down is taken as up.
+_SHORT_ID = struct.Struct("<H")
+_SHORT_ID_MASK = 0xFFFF
+MAX_IDS_PER_PART = (MAX_DATAGRAM - 1 - _PART.size) // _SHORT_ID.size
+MAX_PARTS = 16  # of one answer: about 1800 servers
+MAX_SHARED_ID = 0xFFFFFFFF
+# While a release restarts a fleet, most peers have no list themselves, so the second round asks more.
+PEERS_PER_ROUND = 3, 9
+QUERY_INTERVAL_S = 1.0  # between later queries, until discovery's first list or while the list is old
 ROUND_S = 0.08  # a datagram takes up to 28 ms each way
-WAIT_S = len(ASKED) * ROUND_S  # the declared bound: READY waits no longer for peers
-ANSWERS_PER_S, ANSWERS_BURST = 20.0, 40.0  # a release must not make a load of its restarts
+MAX_WAIT_S = len(PEERS_PER_ROUND) * ROUND_S  # the documented bound: READY is not delayed longer by peers
+ANSWERS_PER_S, ANSWERS_BURST = 20.0, 40.0  # limits the load caused by the restarts of a release
 
 
-def parts(nonce: int, revision: int, up: Sequence[int]) -> list[bytes]:
-    """The datagrams of a list, by the shared ids of the servers up."""
-    ids = sorted(up)[: MOST_IDS * MOST_PARTS]
-    chunks = [ids[n : n + MOST_IDS] for n in range(0, len(ids), MOST_IDS)] or [[]]
+def encode_list(nonce: int, revision: int, up: Sequence[int]) -> list[bytes]:
+    """The datagrams that carry a list, given the shared ids of the servers that are up."""
+    ids = sorted(up)[: MAX_IDS_PER_PART * MAX_PARTS]
+    chunks = [ids[n : n + MAX_IDS_PER_PART] for n in range(0, len(ids), MAX_IDS_PER_PART)] or [[]]
     truncated = len(ids) < len(up)
-    out, low = [], 0
+    datagrams, low = [], 0
     for number, chunk in enumerate(chunks):
         last = number + 1 == len(chunks)
-        high = TOP if last and not truncated else chunk[-1]
+        high = MAX_SHARED_ID if last and not truncated else chunk[-1]
         head = _PART.pack(nonce, revision, number, len(chunks), low, high)
-        out.append(PART + head + b"".join(_ID.pack(n & _ID_MASK) for n in chunk))
+        datagrams.append(LIST_PART + head + b"".join(_SHORT_ID.pack(n & _SHORT_ID_MASK) for n in chunk))
         low = high + 1
-    return out
+    return datagrams
 
 
-def digest(up: Sequence[int]) -> int:
-    """Of a list, by the shared ids of the servers up: most peers' lists are the same, and are not sent."""
+def list_digest(up: Sequence[int]) -> int:
+    """A digest of a list, given the shared ids of the servers that are up. Most peers have the same list,
+    which then is not sent."""
     return zlib.crc32(b"".join(n.to_bytes(4, "little") for n in sorted(up)))
 
 
 class WarmStart:
+    """Asks peers for their lists, and answers peers that ask."""
+
     def __init__(
         self, peers: Peers, outside: Outside, fleet_size: int, self_index: int, has_list: Callable[[], bool]
     ) -> None:
-        """`has_list`: whether discovery has told this process a list, so that it may answer others."""
+        """`has_list`: whether this process has received a list from discovery, so that it may answer
+        peers."""
         self._peers, self._outside, self._has_list = peers, outside, has_list
-        self._others = [n for n in range(min(fleet_size, len(peers.addresses))) if n != self_index]
-        self._quorum = quorum(len(self._others) + 1)
+        self._other_peers = [n for n in range(min(fleet_size, len(peers.addresses))) if n != self_index]
+        self._quorum = quorum(len(self._other_peers) + 1)
         self._nonce = random.getrandbits(32)
-        self._due: dict[int, set[int]] = {}  # peers asked -> numbers of parts heard
-        self._complete: set[int] = set()  # whose whole answer has come, with a list
-        self._answered: set[int] = set()
-        self._enough = asyncio.Event()
+        self._parts_received: dict[int, set[int]] = {}  # peer asked -> part numbers received
+        self._complete_from: set[int] = set()  # peers that have sent a complete list
+        self._answered_by: set[int] = set()
+        self._quorum_reached = asyncio.Event()
         self._tokens, self._tokens_at = ANSWERS_BURST, 0.0
-        peers.handle(ASK, self._on_ask)
-        peers.handle(PART, self._on_part)
+        peers.handle(QUERY, self._on_query)
+        peers.handle(LIST_PART, self._on_list_part)
 
-    async def ask(self, heard: asyncio.Event) -> None:
-        """Until a quorum has answered, or discovery has (`heard`), or WAIT_S is over, whichever is first."""
-        ended = [asyncio.ensure_future(event.wait()) for event in (self._enough, heard)]
+    async def query_peers(self, list_received: asyncio.Event) -> None:
+        """Query peers until a quorum of them has sent a list, or all have answered, or discovery has sent a
+        list (`list_received`), or MAX_WAIT_S has elapsed, whichever is first."""
+        event_tasks = [asyncio.ensure_future(event.wait()) for event in (self._quorum_reached, list_received)]
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(MAX_WAIT_S):
                 await self._peers.opened.wait()
-                for turn, count in enumerate(ASKED):
-                    self._ask_some(count, observations=turn == 0)
-                    done, _ = await asyncio.wait(ended, timeout=ROUND_S, return_when=asyncio.FIRST_COMPLETED)
+                for round_number, count in enumerate(PEERS_PER_ROUND):
+                    self._query_random_peers(count, wants_sightings=round_number == 0)
+                    done, _ = await asyncio.wait(
+                        event_tasks, timeout=ROUND_S, return_when=asyncio.FIRST_COMPLETED
+                    )
                     if done:
                         break
         except TimeoutError:
             pass
         finally:
-            for waiting in ended:
-                waiting.cancel()
+            for task in event_tasks:
+                task.cancel()
 
-    async def follow(self, heard: asyncio.Event, list_is_old: Callable[[], bool]) -> None:
-        """Ask on until discovery has spoken, and whenever no watch stands: servers drain meanwhile."""
-        was_old = True  # at a start
+    async def follow(self, list_received: asyncio.Event, list_is_old: Callable[[], bool]) -> None:
+        """Keep querying until discovery has sent a list, and whenever the list is old, as servers may start
+        to drain meanwhile."""
+        was_old = True  # initially
         while True:
-            await asyncio.sleep(random.uniform(0.5, 1.0) * AGAIN_S)
-            is_old = not heard.is_set() or list_is_old()
+            await asyncio.sleep(random.uniform(0.5, 1.0) * QUERY_INTERVAL_S)
+            is_old = not list_received.is_set() or list_is_old()
             if is_old and not was_old:
                 self._outside.mark_list_stale()
             if is_old:
-                self._ask_some(ASKED[0])
+                self._query_random_peers(PEERS_PER_ROUND[0])
             was_old = is_old
 
-    def _ask_some(self, count: int, observations: bool = False) -> None:
+    def _query_random_peers(self, count: int, wants_sightings: bool = False) -> None:
         up = self._outside.servers.up_shared_ids()
-        strangers = [peer for peer in self._others if peer not in self._due] or self._others
-        for peer in random.sample(strangers, min(count, len(strangers))):
-            self._due[peer] = set()
-            self._peers.send(peer, ASK + _ASK.pack(self._nonce, digest(up), observations))
-
-    def _on_ask(self, sender: int, data: bytes) -> bool:
-        if len(data) != _ASK.size:
+        not_queried = [
+            peer for peer in self._other_peers if peer not in self._parts_received
+        ] or self._other_peers
+        for peer in random.sample(not_queried, min(count, len(not_queried))):
+            self._parts_received[peer] = set()
+            self._peers.send(peer, QUERY + _QUERY.pack(self._nonce, list_digest(up), wants_sightings))
+
+    def _on_query(self, sender: int, data: bytes) -> bool:
+        if len(data) != _QUERY.size:
             return False
         now = time.monotonic()
         self._tokens = min(ANSWERS_BURST, self._tokens + (now - self._tokens_at) * ANSWERS_PER_S)
@@ -117,31 +130,35 @@
         if self._tokens < 1:
             return True
         self._tokens -= 1
-        nonce, theirs, observations = _ASK.unpack(data)
+        nonce, their_digest, wants_sightings = _QUERY.unpack(data)
         if not self._has_list():
-            self._peers.send(sender, PART + _PART.pack(nonce, 0, 0, 0, 0, 0))
+            self._peers.send(sender, LIST_PART + _PART.pack(nonce, 0, 0, 0, 0, 0))
             return True
         revision, up = self._outside.servers.revision, self._outside.servers.up_shared_ids()
-        same = [PART + _PART.pack(nonce, revision, 0, 0, 0, 0)]
-        for part in same if theirs == digest(up) else parts(nonce, revision, up):
+        unchanged = [LIST_PART + _PART.pack(nonce, revision, 0, 0, 0, 0)]
+        for part in unchanged if their_digest == list_digest(up) else encode_list(nonce, revision, up):
             self._peers.send(sender, part)
-        self._outside.asked_by(sender, observations)
+        self._outside.asked_by(sender, wants_sightings)
         return True
 
-    def _on_part(self, sender: int, data: bytes) -> bool:
-        if len(data) < _PART.size or (len(data) - _PART.size) % _ID.size:
+    def _on_list_part(self, sender: int, data: bytes) -> bool:
+        if len(data) < _PART.size or (len(data) - _PART.size) % _SHORT_ID.size:
             return False
         nonce, revision, number, count, low, high = _PART.unpack_from(data)
-        if nonce != self._nonce or sender not in self._due or number >= max(1, min(count, MOST_PARTS)):
+        if (
+            nonce != self._nonce
+            or sender not in self._parts_received
+            or number >= max(1, min(count, MAX_PARTS))
+        ):
             return False
         if count:
-            up = {n for (n,) in _ID.iter_unpack(data[_PART.size :])}
-            self._outside.peer_list(sender, revision, low, high, lambda n: n & _ID_MASK in up)
-            self._due[sender].add(number)
-        if len(self._due[sender]) == count and revision:
-            self._complete.add(sender)
-        if not count or sender in self._complete:
-            self._answered.add(sender)
-        if len(self._complete) >= self._quorum or len(self._answered) == len(self._others):
-            self._enough.set()
+            up = {n for (n,) in _SHORT_ID.iter_unpack(data[_PART.size :])}
+            self._outside.peer_list(sender, revision, low, high, lambda n: n & _SHORT_ID_MASK in up)
+            self._parts_received[sender].add(number)
+        if len(self._parts_received[sender]) == count and revision:
+            self._complete_from.add(sender)
+        if not count or sender in self._complete_from:
+            self._answered_by.add(sender)
+        if len(self._complete_from) >= self._quorum or len(self._answered_by) == len(self._other_peers):
+            self._quorum_reached.set()
         return True
--- a/anisespool/state/pending_writes.py
+++ b/anisespool/state/pending_writes.py
@@ -1,5 +1,5 @@
-"""What has been taken on and is not yet durable. Each kind of state has one `OwedWrite`, which writes it
-again, with a bounded back-off, until the store has taken it; nothing else retries a write."""
+"""Retries writes to the state store. Each kind of state has one `PendingWrite`, which repeats a failed write
+with a bounded back-off until it succeeds; nothing else retries a write."""
 
 from __future__ import annotations
 
@@ -11,104 +11,107 @@
 from anisespool.state.records import Record, now_ms
 from anisespool.state.store import Store
 
-RETRY_FIRST_S = 0.2  # after a first failure; doubled by each further one
-RETRY_MOST_S = 5.0  # the longest time for which a disk that has recovered is not noticed
-MAX_TEXT = 300  # characters of a line in the log
+RETRY_INITIAL_S = 0.2  # after the first failure; doubled after each further one
+RETRY_MAX_S = 5.0  # the longest time until a recovered disk is noticed
+MAX_LOG_CHARS = 300  # of one log line
 
 
-class OwedWrite:
-    """Runs `attempt` each time that something is due, and again while it fails. One line in the log when it
-    begins to fail, and one when it has recovered."""
+class PendingWrite:
+    """Runs `write` whenever it is scheduled, and again while it fails. Logs one line when it starts to fail
+    and one when it has recovered."""
 
     def __init__(
-        self, topic: str, failing: str, recovered: str, attempt: Callable[[], Awaitable[None]],
-        pace_s: float = 0.0,
+        self, topic: str, failure_text: str, recovery_text: str, write: Callable[[], Awaitable[None]],
+        min_interval_s: float = 0.0,
     ) -> None:  # fmt: skip
-        """`failing`, `recovered`: for the log. `attempt` raises StoreError while something stays owed.
-        `pace_s`: between two attempts that succeed."""
-        self._topic, self._failing, self._recovered = topic, failing, recovered
-        self._attempt, self._pace_s = attempt, pace_s
+        """`failure_text`, `recovery_text`: for the log. `write` raises StoreError if something is still not
+        stored. `min_interval_s`: the pause after a successful write."""
+        self._topic, self._failure_text, self._recovery_text = topic, failure_text, recovery_text
+        self._write, self._min_interval_s = write, min_interval_s
         self._due = asyncio.Event()
-        self._retry_s = RETRY_FIRST_S
+        self._retry_s = RETRY_INITIAL_S
         self._is_failing = False
 
-    def mark(self) -> None:
-        """Something is due. While attempts fail, it waits for the next of them."""
+    def schedule(self) -> None:
+        """Request a write. While writes fail, the request waits for the next retry."""
         self._due.set()
 
     async def follow(self) -> None:
+        """Run the scheduled writes, until cancelled."""
         while True:
             await self._due.wait()
-            if await self._succeeds():
-                await asyncio.sleep(self._pace_s)
+            if await self._try_write():
+                await asyncio.sleep(self._min_interval_s)
             else:
                 await asyncio.sleep(self._retry_s)
-                self._retry_s = min(2 * self._retry_s, RETRY_MOST_S)
+                self._retry_s = min(2 * self._retry_s, RETRY_MAX_S)
 
     async def flush(self) -> None:
-        """A last attempt at what is still due, by a process that ends and has cancelled `follow`."""
+        """Try once more to write what is still scheduled: for a process that ends and has cancelled
+        `follow`."""
         if self._due.is_set():
-            await self._succeeds()
+            await self._try_write()
 
-    async def _succeeds(self) -> bool:
-        """One attempt. Where it fails, or is cancelled, what was due stays so."""
+    async def _try_write(self) -> bool:
+        """Try once. If the write fails with a retryable error or is cancelled, it stays scheduled."""
         self._due.clear()
         try:
-            await self._attempt()
-        except Unstorable as error:  # no later attempt can do better
-            self.failed(error)
+            await self._write()
+        except Unstorable as error:  # a retry cannot succeed
+            self.report_failure(error)
             return True
         except StoreError as error:
             self._due.set()
-            self.failed(error)
+            self.report_failure(error)
             return False
         except asyncio.CancelledError:
             self._due.set()
             raise
-        self._recover()
+        self._report_recovery()
         return True
 
-    def failed(self, error: StoreError) -> None:
-        """Log the first failure of a row of them, whoever met it."""
+    def report_failure(self, error: StoreError) -> None:
+        """Log the first of consecutive failures; the caller may have met it outside `write`."""
         if not self._is_failing:
             self._is_failing = True
-            say(self._topic, f"{self._failing}: {error}"[:MAX_TEXT])
+            say(self._topic, f"{self._failure_text}: {error}"[:MAX_LOG_CHARS])
 
-    def _recover(self) -> None:
-        self._retry_s = RETRY_FIRST_S
+    def _report_recovery(self) -> None:
+        self._retry_s = RETRY_INITIAL_S
         if self._is_failing:
             self._is_failing = False
-            say(self._topic, self._recovered)
+            say(self._topic, self._recovery_text)
 
 
-class OwedRecords:
-    """Records that the store does not have yet: the latest of each kind and id, until its time is over, which
-    bounds them."""
+class PendingRecords:
+    """Records that are not in the store yet: the latest of each kind and id. Expired records are dropped,
+    which bounds their number."""
 
-    def __init__(self, store: Store, what: str, pace_s: float) -> None:
+    def __init__(self, store: Store, description: str, min_interval_s: float) -> None:
         self._store = store
         self._records: dict[tuple[str, str], Record] = {}
-        failing, recovered = f"{what} is not stored", f"{what} is stored again"
-        self._owed = OwedWrite("state", failing, recovered, self._write, pace_s)
+        failure_text, recovery_text = f"{description} is not stored", f"{description} is stored again"
+        self._pending_write = PendingWrite("state", failure_text, recovery_text, self._write, min_interval_s)
 
     def add(self, records: Iterable[Record]) -> None:
+        """Schedule records to be stored."""
         self._records.update({(record.kind, record.id): record for record in records})
         if self._records:
-            self._owed.mark()
+            self._pending_write.schedule()
 
     def __len__(self) -> int:
         return len(self._records)
 
     def has_later(self, stored: Record) -> bool:
-        """Whether one of its kind and id that binds for longer is not stored yet."""
-        owed = self._records.get((stored.kind, stored.id))
-        return owed is not None and owed.until_ms > stored.until_ms
+        """Whether a record of the same kind and id that expires later is waiting to be stored."""
+        pending = self._records.get((stored.kind, stored.id))
+        return pending is not None and pending.until_ms > stored.until_ms
 
     async def follow(self) -> None:
-        await self._owed.follow()
+        await self._pending_write.follow()
 
     async def flush(self) -> None:
-        await self._owed.flush()
+        await self._pending_write.flush()
 
     async def _write(self) -> None:
         now = now_ms()
@@ -117,12 +120,12 @@
         try:
             await self._store.put(rows.values())
         except Unstorable:
-            self._forget(rows)
+            self._discard(rows)
             raise
-        self._forget(rows)
+        self._discard(rows)
 
-    def _forget(self, rows: dict[tuple[str, str], Record]) -> None:
-        """But for what has come later of the same id."""
+    def _discard(self, rows: dict[tuple[str, str], Record]) -> None:
+        """Drop these records, but not those that have replaced them meanwhile."""
         for key, record in rows.items():
             if self._records.get(key) is record:
                 del self._records[key]
--- a/anisespool/state/persisted_rows.py
+++ b/anisespool/state/persisted_rows.py
@@ -1,4 +1,4 @@
-"""What outlives a process, in rows that name servers by their ids."""
+"""The state that a sidecar keeps for its next process, as rows that identify servers by their ids."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class LearnedRow(NamedTuple):
-    """How slow a server was and how many waited there, in the module's terms, and when (Unix ms)."""
+    """What was last learned of a server, and when (Unix ms). The same values as in Sighting."""
 
     server: str
-    slow: float
-    queue: float
+    slow: float  # response times relative to what the same requests usually take
+    queue: float  # requests waiting at the server
     at_ms: int
 
 
 class VerdictRow(NamedTuple):
-    """A server that is ejected until then (Unix ms), and the failure that tipped it."""
+    """A server that is ejected until `until_ms` (Unix ms), and the failure that caused it."""
 
     server: str
     until_ms: int
@@ -26,17 +26,18 @@
 
 
 class PinRow(NamedTuple):
-    """The dedup group that a key went to, in the module's terms, and until when it binds (Unix ms)."""
+    """The dedup group (the servers that recognise a repeated key) that must get all requests with a key until
+    `until_ms` (Unix ms), in the numbers used by Pinned."""
 
     key: int
-    cls: int
+    request_class: int
     zone: int
     cell: int
     until_ms: int
 
 
-class Remembered(NamedTuple):
-    """What outlives the process."""
+class PersistedState(NamedTuple):
+    """What was learned of servers, and which are ejected."""
 
     learned: Sequence[LearnedRow]
     ejections: Sequence[VerdictRow]
--- a/anisespool/state/records.py
+++ b/anisespool/state/records.py
@@ -1,4 +1,4 @@
-"""The rows of the state store, its errors, its clock and its log."""
+"""The row types of the state store, its clock and its log topic."""
 
 from __future__ import annotations
 
@@ -9,25 +9,31 @@
 
 
 class Order(NamedTuple):
+    """An operator's order to take a server out of use (DISABLE) or to use it again (ENABLE)."""
+
     out: bool
-    at_ms: int  # Unix time
+    at_ms: int  # when it was given, Unix time
 
 
 class Record(NamedTuple):
+    """One row of table `records`; what `id` and `body` mean depends on the kind."""
+
     kind: str
     id: str
-    at_ms: int  # when it was learned, Unix time
-    until_ms: int  # void from then on
+    at_ms: int  # when the content was determined, Unix time
+    until_ms: int  # the record expires then, Unix time
     body: str
 
 
 class ListHead(NamedTuple):
+    """The version of a stored server list."""
+
     revision: int
-    etag: str  # of the list's content, whoever wrote it; "": of the form of earlier releases
+    etag: str  # a digest of the list's content; "": stored by an earlier release, which had none
 
 
 def now_ms() -> int:
-    """Unix time by the steady clock, which goes on from one process to the next."""
+    """Unix time by the steady clock, which continues from one process to the next."""
     return CLOCK.unix_ms()
 
 
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from anisespool.state.store import place
+from anisespool.state.store import store_path
 from tests.fleet import Fleet
 from tests.net import UNTIL_S
 
@@ -31,7 +31,7 @@
 
 def fill(it: Fleet, n: int) -> None:
     """No commit of sidecar N can add to the store's log from now on."""
-    full = Path(f"{place(it.home(n), f'n{n}')}-wal").stat().st_size
+    full = Path(f"{store_path(it.home(n), f'n{n}')}-wal").stat().st_size
     resource.prlimit(it.processes[n].pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))
 
 
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -15,7 +15,7 @@
 from anisespool.limits import shares
 from anisespool.maintenance import Maintenance
 from anisespool.sidecar import Sidecar
-from anisespool.state.learned_state import Memory
+from anisespool.state.learned_state import LearnedState
 from anisespool.state.list_snapshot import ListSnapshot
 from anisespool.state.store import ListHead, Store
 from anisespool.upgrade_locks import Pair
@@ -91,9 +91,9 @@
         self.maintenance = Maintenance(self.store, self.pair, self._ordered)
         self.sidecar: Sidecar = Sidecar(config, self.endpoints, self.maintenance.orders)
         self.snapshot = ListSnapshot(self.store, config.known_members) if self.store else None
-        self.memory: Memory | None = None
+        self.memory: LearnedState | None = None
         if self.store:
-            self.memory = Memory(self.store, self.pair, self.sidecar.outside, keeps_pins=True)
+            self.memory = LearnedState(self.store, self.pair, self.sidecar.outside, keeps_pins=True)
         self.revision = 0
         self._lines, self._chunks = ObjectDecoder(), list[bytes]()
         self._parser = http1.ResponseParser(lambda data: self._chunks.append(data))
@@ -138,7 +138,7 @@
                 update = self.config.names.member_list(raw)
                 self.sidecar.apply_list(update)
                 if self.snapshot:
-                    self.snapshot.heard(raw, update)
+                    self.snapshot.on_update(raw, update)
                 self.revision = update.revision
 
     async def settle(self) -> None:
--- a/tests/scale/real.py
+++ b/tests/scale/real.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from anisespool.config import Address
-from anisespool.state.store import place
+from anisespool.state.store import store_path
 from tests.net import Discovery, free_port
 from tests.scale.hollow import write_config
 from tests.scale.listing import Row
@@ -62,7 +62,7 @@
     async def until_saved(self, revision: int) -> None:
         """Until the list of that revision is in its state store."""
         if self._reader is None:
-            self._reader = sqlite3.connect(place(self.home, "n0"))
+            self._reader = sqlite3.connect(store_path(self.home, "n0"))
         while self._reader.execute("SELECT max(revision) FROM list_heads").fetchone()[0] != revision:
             await asyncio.sleep(LOOK_S)
 
--- a/tests/scale_fleet/datagrams.py
+++ b/tests/scale_fleet/datagrams.py
@@ -10,7 +10,7 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from anisespool.fleet.shared_state import verdicts_datagrams
+from anisespool.fleet.shared_state import encode_verdicts
 from anisespool.peers import MAX_DATAGRAM, RELEASE, shared_id
 from anisespool.state import peer_lists
 from shuntlead.interface import MAX_OBSERVATIONS, Ejection, Observation, Status
@@ -95,7 +95,7 @@
         tellers.append(own_s)
     for n in range(size):
         known.append(tellers[n] if n < len(tellers) else _quorum_s(draw, tellers, need, loss))
-    [data] = verdicts_datagrams([Ejection(1, FIRST_EJECTION_NS, Status.RESET)])
+    [data] = encode_verdicts([Ejection(1, FIRST_EJECTION_NS, Status.RESET)])
     one = len(data) + HEADER_BYTES
     told = EJECTION_REPEATS + (FIRST_EJECTION_NS // EJECTION_RESEND_NS)
     zone = one * EJECTION_REPEATS * len(tellers) * (size / ZONES)
@@ -128,24 +128,26 @@
 
 def warm_start(size: int, loss: float, seed: int, starts: int = 1000) -> Warm:
     draw, up = random.Random(seed), [shared_id(f"s-{seed}-{n}") for n in range(size)]
-    answer = peer_lists.parts(1, 1, up)
+    answer = peer_lists.encode_list(1, 1, up)
     bounds = [peer_lists._PART.unpack_from(data[1:])[4:] for data in answer]
     covered = sum(any(low <= n <= high for low, high in bounds) for n in up) / size
     if any(next_low != high + 1 for (_, high), (next_low, _) in pairwise(bounds)):
         raise ValueError("parts that do not meet")
     answer_bytes = sum(len(data) + HEADER_BYTES for data in answer)
     ready = sum(_whole_answers(draw, len(answer), loss) >= quorum(size) for _ in range(starts)) / starts
-    each = min(peer_lists.MOST_IDS, size) / (1 << 16)
-    return Warm(size, len(answer), answer_bytes, covered, sum(peer_lists.ASKED) * answer_bytes, ready, each)
+    each = min(peer_lists.MAX_IDS_PER_PART, size) / (1 << 16)
+    return Warm(
+        size, len(answer), answer_bytes, covered, sum(peer_lists.PEERS_PER_ROUND) * answer_bytes, ready, each
+    )
 
 
 def _whole_answers(draw: random.Random, count: int, loss: float) -> int:
     """Of the peers that are asked in rounds, those whose every part is there in time. One way to them, one
     back."""
     whole = 0
-    for turn, asked in enumerate(peer_lists.ASKED):
+    for turn, asked in enumerate(peer_lists.PEERS_PER_ROUND):
         for _ in range(asked):
             ways = [draw.random() >= loss for _ in range(1 + count)]
             took_s = draw.uniform(0.001, DELAY_S) + max(draw.uniform(0.001, DELAY_S) for _ in range(count))
-            whole += all(ways) and turn * peer_lists.ROUND_S + took_s <= peer_lists.WAIT_S
+            whole += all(ways) and turn * peer_lists.ROUND_S + took_s <= peer_lists.MAX_WAIT_S
     return whole
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -44,5 +44,5 @@
     from anisespool.state import clock
 
     if os.environ.get(NO_BOOT_ID):
-        clock.BOOT_ID = Path(os.environ[STEP_FILE] + ".none")
+        clock.BOOT_ID_FILE = Path(os.environ[STEP_FILE] + ".none")
     sys.exit(main())
--- a/tests/test_clock_offsets.py
+++ b/tests/test_clock_offsets.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from anisespool.fleet.clock_offsets import EARLY_MS, LATE_MS, SETTLE_S, Offsets
+from anisespool.fleet.clock_offsets import EARLY_MS, LATE_MS, SETTLE_S, ClockOffsets
 from shuntlead.quotas import REPORT_INTERVAL_NS
 from tests.fleet import fleet
 from tests.net import Endpoint, TellingDiscovery, member, member_list
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_peer_is_read_by_its_own_clock_once_that_is_sure(step_s: float) -> None:
-    it, step_ms, now_s = Offsets(), round(step_s * 1000), 100.0
+    it, step_ms, now_s = ClockOffsets(), round(step_s * 1000), 100.0
     assert it.offset_ms(0, 5, now_s) == 0
     offsets = []
     for n in range(20):
@@ -52,7 +52,7 @@
 
 
 def test_what_lay_unread_is_old_however_much_of_it_there_is() -> None:
-    it = Offsets()
+    it = ClockOffsets()
     assert it.offset_ms(0, 5, 100.0) == 0
     for n in range(50):  # a stop of 10 s; the last of them is as old as LATE_MS
         assert it.offset_ms(0, LATE_MS + 10_000 - 200 * n, 110.0 + 0.001 * n) == 0
--- a/tests/test_clock_store.py
+++ b/tests/test_clock_store.py
@@ -12,8 +12,8 @@
 
 from anisespool.clock import MOST_EPOCHS, SteadyClock
 from anisespool.state import clock
-from anisespool.state.clock import keep, resume
-from anisespool.state.store import Record, Store, now_ms, place
+from anisespool.state.clock import restore_clock, save_clock
+from anisespool.state.store import Record, Store, now_ms, store_path
 from tests.support import SECOND
 from tests.test_maintenance import Process
 from tests.test_wall_clock import STEPS_S
@@ -39,10 +39,10 @@
     store: Store, monkeypatch: pytest.MonkeyPatch, step_s: float
 ) -> None:
     last = SteadyClock()
-    await keep(last, store)
+    await save_clock(last, store)
     step(monkeypatch, step_s)
     following = SteadyClock()
-    resume(following, store)
+    restore_clock(following, store)
     assert following.is_continued and following.epoch_ns == last.epoch_ns
     assert len(following.epochs_ns) == 2  # the starts of servers may be dated by either
 
@@ -51,16 +51,16 @@
 async def test_after_a_reboot_or_with_no_boot_known_the_clock_is_the_walls(
     store: Store, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, boot: str | None
 ) -> None:
-    await keep(SteadyClock(), store)
+    await save_clock(SteadyClock(), store)
     boot_id = tmp_path / "boot_id"
     if boot:
         boot_id.write_text(boot)
-    monkeypatch.setattr(clock, "BOOT_ID", boot_id)
+    monkeypatch.setattr(clock, "BOOT_ID_FILE", boot_id)
     step(monkeypatch, 5.0)
     following = SteadyClock()
     wall_ns = following.epoch_ns
-    resume(following, store)
-    await keep(following, store)
+    restore_clock(following, store)
+    await save_clock(following, store)
     assert not following.is_continued and following.epoch_ns == wall_ns
 
 
@@ -68,12 +68,12 @@
     store: Store, capfd: pytest.CaptureFixture[str]
 ) -> None:
     last, later_ms = SteadyClock(), now_ms() + 5_000
-    await keep(last, store)
+    await save_clock(last, store)
     await store.put([Record("learned", "s-0", later_ms, later_ms + 60_000, "[1.0, 0.0]")])
     following = SteadyClock()
-    resume(following, store)
+    restore_clock(following, store)
     assert not following.is_continued
-    assert "state: the earlier process's clock is left out" in capfd.readouterr().err
+    assert "state: the previous process's clock is not used" in capfd.readouterr().err
 
 
 @pytest.mark.parametrize("body", ["", "[]", "{}", '["x"]', "[true]"])
@@ -82,9 +82,9 @@
 ) -> None:
     await store.put([Record(clock.KIND, clock.boot_id(), now_ms(), now_ms() + AHEAD_MS, body)])
     following = SteadyClock()
-    resume(following, store)
+    restore_clock(following, store)
     assert not following.is_continued
-    assert "state: the earlier process's clock is left out" in capfd.readouterr().err
+    assert "state: the previous process's clock is not used" in capfd.readouterr().err
 
 
 def test_of_a_clock_that_steps_again_and_again_the_latest_epochs_are_kept(
@@ -104,7 +104,7 @@
     """By the clock of another boot. Each order here is later, and its time is of the clock as it is now."""
     first = Process(tmp_path)
     await first.it.order("s-0", True)
-    with closing(sqlite3.connect(place(tmp_path, "n0"))) as connection, connection:
+    with closing(sqlite3.connect(store_path(tmp_path, "n0"))) as connection, connection:
         connection.execute("UPDATE orders SET at_ms = ?", (now_ms() + AHEAD_MS,))
     one, two = Process(tmp_path), Process(tmp_path)
     for process in (one, two):
@@ -120,7 +120,7 @@
     first = Process(tmp_path)
     await first.it.order("s-0", True)
     await first.it.order("s-0", False)
-    with closing(sqlite3.connect(place(tmp_path, "n0"))) as connection, connection:
+    with closing(sqlite3.connect(store_path(tmp_path, "n0"))) as connection, connection:
         connection.execute("UPDATE orders SET at_ms = ?", (now_ms() + AHEAD_MS,))
     process = Process(tmp_path)
     await process.it.load()
--- a/tests/test_disk_ends.py
+++ b/tests/test_disk_ends.py
@@ -18,10 +18,10 @@
 from anisespool.servers import Servers
 from anisespool.service import Service
 from anisespool.state import pending_writes, tables
-from anisespool.state.learned_state import PIN, Memory
+from anisespool.state.learned_state import PIN, LearnedState
 from anisespool.state.persisted_rows import PinRow
 from anisespool.state.records import Record, now_ms
-from anisespool.state.store import Order, Store, place
+from anisespool.state.store import Order, Store, store_path
 from anisespool.upgrade_locks import Pair
 from tests.disk import FULL, FailingDisk, failing_disk, stored_orders
 from tests.net import TellingDiscovery, free_port, member, member_list, until, write_config
@@ -59,7 +59,7 @@
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     """The disk has recovered since the last attempt, and the next one is not due yet."""
-    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 3600.0)
+    monkeypatch.setattr(pending_writes, "RETRY_INITIAL_S", 3600.0)
     lines: list[str] = []
 
     def log() -> str:
@@ -76,10 +76,10 @@
         assert (await call(admin, b"DISABLE s-0\n")).startswith(b"FAILURE")
         discovery.say(member_list(3, [rows[1] | {"phase": "draining"}], False))
         service._sidecar.outside.on_pin(PinRow(7, 1, 0, 0, now_ms() + 60_000))
-        for what in ("the list", "what binds keys"):
+        for what in ("the list", "the record of pinned keys"):
             await until(lambda what=what: f"{what} is not stored" in log())  # type: ignore[misc]
         disk.recover()
-    assert stored_orders(place(tmp_path, "n0")) == {"s-0": True}
+    assert stored_orders(store_path(tmp_path, "n0")) == {"s-0": True}
     assert stored(tmp_path) == (3, {"s-0": rows[0], "s-1": rows[1] | {"phase": "draining"}})
     again = Store.open(tmp_path, "n0")
     assert again and [record.id for record in again.records(PIN)] == ["7"]
@@ -108,7 +108,7 @@
     assert store
     for key in (1, 2):
         await store.put([Record(PIN, str(key), now, now + 30_000, f"[{key}, 1, 0, 0]")])
-    it = Memory(store, Pair(None, "n0"), outside, keeps_pins=True)
+    it = LearnedState(store, Pair(None, "n0"), outside, keeps_pins=True)
     following = asyncio.create_task(it.follow())
     await until(lambda: recalled == [[1, 2]])
     disk.fail(FULL)
@@ -145,15 +145,15 @@
     process = Process(tmp_path, locks=tmp_path)
     for n in range(5):
         await process.it.order(f"s-{n}", True)
-    path = place(tmp_path, "n0")
+    path = store_path(tmp_path, "n0")
     log = path.with_name(path.name + "-wal")
     whole = log.read_bytes()
     await process.it.order("torn", True)
     torn = log.read_bytes()[: len(whole) + 1_000]
     copy = tmp_path / "copy"
     copy.mkdir()
-    place(copy, "n0").write_bytes(path.read_bytes())
-    place(copy, "n0").with_name(path.name + "-wal").write_bytes(torn)
+    store_path(copy, "n0").write_bytes(path.read_bytes())
+    store_path(copy, "n0").with_name(path.name + "-wal").write_bytes(torn)
     again = Process(copy)
     await again.it.load()
     assert again.out() == {f"s-{n}" for n in range(5)}
@@ -211,5 +211,5 @@
     for expected in (rows, {}):
         with store._writer:
             store._writer.execute("BEGIN IMMEDIATE")
-            assert tables.merge(store._writer, "n0", rows) == expected
+            assert tables.merge_orders(store._writer, "n0", rows) == expected
     store.close()
--- a/tests/test_drain_hearsay.py
+++ b/tests/test_drain_hearsay.py
@@ -13,7 +13,7 @@
 from anisespool.exchange import Answer, Call
 from anisespool.peers import shared_id
 from anisespool.sidecar import Sidecar
-from anisespool.state.peer_lists import TOP
+from anisespool.state.peer_lists import MAX_SHARED_ID
 from anisespool.state.records import Order
 from shuntlead import interface as api
 from shuntlead.interface import ListForm, Status
@@ -41,7 +41,7 @@
         """Two peers, of all servers, those that this sidecar has not listed too."""
         ids = {shared_id(name) for name in up}
         for peer in (1, 2):
-            self.sidecar.outside.peer_list(peer, PEERS, 0, TOP, lambda shared: shared in ids)
+            self.sidecar.outside.peer_list(peer, PEERS, 0, MAX_SHARED_ID, lambda shared: shared in ids)
 
     def list(self, *rows: dict[str, object], complete: bool = False, revision: int = 3) -> None:
         self.sidecar.apply_list(self.names.member_list(member_list(revision, list(rows), complete)))
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -15,7 +15,7 @@
 from anisespool.errors import NotDurable
 from anisespool.state import pending_writes, tables
 from anisespool.state.list_snapshot import ListSnapshot
-from anisespool.state.store import Order, Store, now_ms, place
+from anisespool.state.store import Order, Store, now_ms, store_path
 from tests.disk import (
     CORRUPT,
     FULL,
@@ -43,12 +43,12 @@
 
 @pytest.fixture(autouse=True)
 def _fast_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 0.01)
-    monkeypatch.setattr(pending_writes, "RETRY_MOST_S", 0.05)
+    monkeypatch.setattr(pending_writes, "RETRY_INITIAL_S", 0.01)
+    monkeypatch.setattr(pending_writes, "RETRY_MAX_S", 0.05)
 
 
 def orders(folder: Path) -> dict[str, bool]:
-    return stored_orders(place(folder, "n0"))
+    return stored_orders(store_path(folder, "n0"))
 
 
 @pytest.mark.parametrize("failure", [FULL, IO_ERROR, READ_ONLY])
@@ -87,9 +87,9 @@
 async def test_a_lock_held_for_too_long_costs_no_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(tables, "BUSY_MS", 20)
+    monkeypatch.setattr(tables, "BUSY_TIMEOUT_MS", 20)
     process = Process(tmp_path, locks=tmp_path)
-    with closing(sqlite3.connect(place(tmp_path, "n0"), isolation_level=None)) as other:
+    with closing(sqlite3.connect(store_path(tmp_path, "n0"), isolation_level=None)) as other:
         other.execute("BEGIN IMMEDIATE")
         async with running(process.it.follow()):
             with pytest.raises(NotDurable):
@@ -113,8 +113,8 @@
 async def test_the_retries_are_paced_and_logged_once(
     tmp_path: Path, disk: FailingDisk, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 0.02)
-    monkeypatch.setattr(pending_writes, "RETRY_MOST_S", 0.16)
+    monkeypatch.setattr(pending_writes, "RETRY_INITIAL_S", 0.02)
+    monkeypatch.setattr(pending_writes, "RETRY_MAX_S", 0.16)
     process = Process(tmp_path, locks=tmp_path)
     async with running(process.it.follow()):
         disk.fail(FULL)
@@ -146,7 +146,7 @@
         for pattern in ("PRAGMA data_version", "SELECT sidecar, server, out"):
             disk.fail(IO_ERROR, pattern)
             before = disk.failures
-            await old.store.merge({f"s-{pattern}": Order(True, now_ms())}) if old.store else None
+            await old.store.merge_orders({f"s-{pattern}": Order(True, now_ms())}) if old.store else None
             await until(lambda before=before: disk.failures > before + 4)  # type: ignore[misc]
             assert {"s-0"} <= new.out()  # what is in force stays so
             disk.recover()
@@ -175,7 +175,7 @@
     """They ended their loads: two of them are no crash loop."""
     before = Store.open(tmp_path, "n0")
     assert before
-    await before.order("s-0", True)
+    await before.set_order("s-0", True)
     before.close()
     disk.fail(IO_ERROR, "PRAGMA journal_mode")
     for _ in range(3):
@@ -193,11 +193,11 @@
     rows = [member("s-0", ADDRESS)]
     snapshot = ListSnapshot(process.store, rows)
     async with running(process.it.follow(), snapshot.follow()):
-        snapshot.heard(member_list(2, rows), MemberList(2, True, ()))
+        snapshot.on_update(member_list(2, rows), MemberList(2, True, ()))
         await process.it.order("s-0", True)
         await until(lambda: stored(tmp_path)[0] == 2)
         process.store._writer.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-        path = place(tmp_path, "n0")
+        path = store_path(tmp_path, "n0")
         path.write_bytes(b"\x13" * path.stat().st_size)
         disk.fail(CORRUPT, "BEGIN")  # as once its pages are no more in the cache
         with pytest.raises(NotDurable):
--- a/tests/test_failing_records.py
+++ b/tests/test_failing_records.py
@@ -13,9 +13,9 @@
 from anisespool.external_state import Outside
 from anisespool.servers import Servers
 from anisespool.state import learned_state, pending_writes
-from anisespool.state.learned_state import Memory
+from anisespool.state.learned_state import LearnedState
 from anisespool.state.list_snapshot import ListSnapshot
-from anisespool.state.persisted_rows import LearnedRow, PinRow, Remembered
+from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow
 from anisespool.state.store import Store, now_ms
 from anisespool.upgrade_locks import Pair
 from tests.disk import FULL, IO_ERROR, FailingDisk, failing_disk, running
@@ -34,14 +34,14 @@
 
 @pytest.fixture(autouse=True)
 def _fast_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pending_writes, "RETRY_FIRST_S", 0.01)
-    monkeypatch.setattr(pending_writes, "RETRY_MOST_S", 0.05)
+    monkeypatch.setattr(pending_writes, "RETRY_INITIAL_S", 0.01)
+    monkeypatch.setattr(pending_writes, "RETRY_MAX_S", 0.05)
 
 
-def _memory(store: Store, folder: Path, learned: list[LearnedRow]) -> Memory:
+def _memory(store: Store, folder: Path, learned: list[LearnedRow]) -> LearnedState:
     outside = Outside(Servers({}, 0), lambda event: None)
-    outside.snapshot = lambda: Remembered(learned, ())  # type: ignore[method-assign]
-    return Memory(store, Pair(folder, "n0"), outside, keeps_pins=True)
+    outside.snapshot = lambda: PersistedState(learned, ())  # type: ignore[method-assign]
+    return LearnedState(store, Pair(folder, "n0"), outside, keeps_pins=True)
 
 
 @pytest.fixture
@@ -55,7 +55,7 @@
 async def test_pins_and_what_was_learned_are_stored_once_the_disk_recovers_and_while_they_bind(
     tmp_path: Path, disk: FailingDisk, store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(learned_state, "SNAPSHOT_S", 0.02)
+    monkeypatch.setattr(learned_state, "SNAPSHOT_INTERVAL_S", 0.02)
     now = now_ms()
     it = _memory(store, tmp_path, [LearnedRow("s-0", 1.5, 0.0, now)])
     async with running(it.follow()):
@@ -91,11 +91,11 @@
     rows = [member(f"s-{n}", ADDRESS) for n in range(4)]
     it = ListSnapshot(store, rows)
     async with running(it.follow()):
-        it.heard(member_list(2, rows), MemberList(2, True, ()))
+        it.on_update(member_list(2, rows), MemberList(2, True, ()))
         await until(lambda: stored(tmp_path)[0] == 2)
         disk.fail(IO_ERROR, where)
         drained = rows[0] | {"phase": "draining"}
-        it.heard(member_list(3, [drained], False), MemberList(3, False, ()))
+        it.on_update(member_list(3, [drained], False), MemberList(3, False, ()))
         await until(lambda: disk.failures > 1)
         assert stored(tmp_path) == (2, {row["id"]: row for row in rows})
         disk.recover()
--- a/tests/test_full_disk.py
+++ b/tests/test_full_disk.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from anisespool.state.store import place
+from anisespool.state.store import store_path
 from tests.disk import fill, free, stored_orders
 from tests.fleet import Fleet, fleet
 from tests.net import OK, UNTIL_S, Endpoint, TellingDiscovery, member, member_list, until
@@ -53,7 +53,7 @@
                 await asyncio.sleep(0.01)
 
     def path(self) -> Path:
-        return place(self.fleet.home(0), "n0")
+        return store_path(self.fleet.home(0), "n0")
 
     def orders(self) -> dict[str, bool]:
         return stored_orders(self.path())
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -134,7 +134,7 @@
     process = Process(tmp_path)
     assert process.store
     old = {"s-old": Order(False, NOW_MS), "s-out": Order(True, NOW_MS)}
-    await process.store.merge(old)
+    await process.store.merge_orders(old)
     await process.it.order("s-1", True)
     assert set(process.store.orders()) == {"s-out", "s-1"}
 
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -100,13 +100,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     looks: list[str] = []
-    changed = Store.changed
+    has_changed = Store.has_changed
 
     def count(store: Store, looker: str = "") -> bool:
         looks.append(looker)
-        return changed(store, looker)
+        return has_changed(store, looker)
 
-    monkeypatch.setattr(Store, "changed", count)
+    monkeypatch.setattr(Store, "has_changed", count)
     async with Discovery().serve() as discovery:
         env = write_config(tmp_path, discovery.address, []) | {"LB_STATE_DIR": str(tmp_path)}
         service, listening = Service(load(env)), asyncio.get_running_loop().create_future()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -16,8 +16,8 @@
 import pytest
 
 from anisespool.config import Address
-from anisespool.state.peer_lists import WAIT_S
-from anisespool.state.store import ListHead, Record, Store, now_ms, place
+from anisespool.state.peer_lists import MAX_WAIT_S
+from anisespool.state.store import ListHead, Record, Store, now_ms, store_path
 from tests.fleet import START_S, Fleet, fleet
 from tests.net import (
     OK,
@@ -191,7 +191,7 @@
                     assert last.startswith("SUCCESS") or "in this process only" in last
                     assert await it.request(0, f"r{limit}-{n}") == 200
                 assert last.startswith("FAILURE"), last
-                assert ("running from nothing" in it.log(0)) != opens
+                assert ("starting without stored state" in it.log(0)) != opens
                 await it.kill(0, wipe=True)
 
 
@@ -222,12 +222,12 @@
         f"{stored} stored, peers {told}: READY {statistics.median(ready):.3f}, most {max(ready):.3f} s; "
         f"first served {statistics.median(served):.3f}, most {max(served):.3f} s"
     )
-    assert max(ready) < WAIT_S + START_S and max(served) < max(ready) + 1.0
+    assert max(ready) < MAX_WAIT_S + START_S and max(served) < max(ready) + 1.0
 
 
 def _stored_revision(folder: Path) -> int:
     try:
-        with closing(sqlite3.connect(f"file:{place(folder, 'n0')}?mode=ro", uri=True)) as connection:
+        with closing(sqlite3.connect(f"file:{store_path(folder, 'n0')}?mode=ro", uri=True)) as connection:
             row = connection.execute("SELECT revision FROM list_heads").fetchone()
     except sqlite3.Error:
         return 0
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -12,8 +12,8 @@
 from anisespool.external_state import Outside
 from anisespool.servers import Servers
 from anisespool.state import crash_guard, learned_state, tables
-from anisespool.state.persisted_rows import LearnedRow, Remembered, VerdictRow
-from anisespool.state.store import Order, Record, Store, now_ms, place
+from anisespool.state.persisted_rows import LearnedRow, PersistedState, VerdictRow
+from anisespool.state.store import Order, Record, Store, now_ms, store_path
 from anisespool.upgrade_locks import Pair
 from shuntlead.interface import Status
 from tests.net import UNTIL_S, until
@@ -22,9 +22,9 @@
 def _filled(folder: Path) -> Path:
     it = Store.open(folder, "n0")
     assert it
-    asyncio.run(it.merge({f"s-{n}": Order(True, 1_000 + n) for n in range(300)}))
+    asyncio.run(it.merge_orders({f"s-{n}": Order(True, 1_000 + n) for n in range(300)}))
     it.close()  # which checkpoints the log into the file
-    return place(folder, "n0")
+    return store_path(folder, "n0")
 
 
 @pytest.mark.parametrize("damage", ["truncated", "garbage", "foreign version", "crash loop"])
@@ -40,12 +40,12 @@
         with sqlite3.connect(path) as connection:
             connection.execute("PRAGMA user_version=99")
     else:
-        path.with_name(path.name + ".loading").write_text(str(crash_guard.LOADS_BEFORE_ASIDE))
+        path.with_name(path.name + ".loading").write_text(str(crash_guard.MAX_FAILED_LOADS))
     capfd.readouterr()
     it = Store.open(tmp_path, "n0")
     assert it and it.orders() == {}
     assert capfd.readouterr().err.count("state: the store is set aside as sailbridge-n0.sqlite.aside-") == 1
-    asyncio.run(it.order("s-1", True))
+    asyncio.run(it.set_order("s-1", True))
     assert set(it.orders()) == {"s-1"}
     assert not path.with_name(path.name + ".loading").exists()
 
@@ -55,13 +55,13 @@
     tmp_path: Path, capfd: pytest.CaptureFixture[str], where: str
 ) -> None:
     (tmp_path / "file").write_text("")
-    place(tmp_path / "folder", "n0").mkdir(parents=True)
+    store_path(tmp_path / "folder", "n0").mkdir(parents=True)
     assert Store.open(tmp_path / where, "n0") is None
     assert capfd.readouterr().err.startswith("state: no state store at ")
 
 
 def test_an_empty_file_is_a_new_store(tmp_path: Path) -> None:
-    place(tmp_path, "n0").write_bytes(b"")
+    store_path(tmp_path, "n0").write_bytes(b"")
     it = Store.open(tmp_path, "n0")
     assert it and it.orders() == {}
 
@@ -72,17 +72,17 @@
     path = _filled(tmp_path)
     now = now_ms()
     with sqlite3.connect(path) as connection:
-        late = now + 10 * tables.FUTURE_MS
+        late = now + 10 * tables.MAX_CLOCK_AHEAD_MS
         rows = [("n1", "s-x", 1, 5), ("n0", "s-y", 1, "soon"), ("n0", "s-late", 1, late)]
         connection.executemany("INSERT INTO orders VALUES (?, ?, ?, ?)", rows)
     it = Store.open(tmp_path, "n0")
     assert it
     orders = it.orders()
     assert len(orders) == 301 and not {"s-x", "s-y"} & set(orders)
-    assert now <= orders["s-late"].at_ms < now + tables.FUTURE_MS
+    assert now <= orders["s-late"].at_ms < now + tables.MAX_CLOCK_AHEAD_MS
     err = capfd.readouterr().err
-    assert "state: 2 records of another sidecar or of no form left out" in err
-    assert "state: 1 orders from the future, by another clock, taken as of now" in err
+    assert "state: 2 records ignored: malformed, or of another sidecar" in err
+    assert "state: 1 orders dated in the future by another clock, treated as given now" in err
 
 
 def test_learned_records_are_left_out_once_the_clock_steps_back_or_past_their_time_and_the_later_one_holds(
@@ -90,12 +90,14 @@
 ) -> None:
     it, now = Store.open(tmp_path, "n0"), now_ms()
     assert it
-    ahead, hour = now + 2 * tables.FUTURE_MS, now + 3_600_000
+    ahead, hour = now + 2 * tables.MAX_CLOCK_AHEAD_MS, now + 3_600_000
     rows = [Record("learned", "s-0", now, hour, "new"), Record("learned", "s-0", now - 9, hour, "old")]
     rows += [Record("learned", "s-1", ahead, hour, "early"), Record("learned", "s-2", now, now - 1, "late")]
     asyncio.run(it.put(rows))
     assert [(r.id, r.body) for r in it.records("learned")] == [("s-0", "new")]
-    assert capfd.readouterr().err.count("state: 1 learned records of another sidecar, from the future") == 1
+    assert (
+        capfd.readouterr().err.count("state: 1 learned records ignored: malformed, dated in the future") == 1
+    )
     asyncio.run(it.put([Record("learned", "s-1", now, hour, "now")]))  # under the clock as it is now
     assert {r.id for r in it.records("learned")} == {"s-0", "s-1"}
 
@@ -103,13 +105,15 @@
 async def test_a_verdict_is_written_at_once_and_does_not_wait_for_the_next_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(learned_state, "SNAPSHOT_S", 3600.0)
+    monkeypatch.setattr(learned_state, "SNAPSHOT_INTERVAL_S", 3600.0)
     store, outside = Store.open(tmp_path, "n0"), Outside(Servers({}, 0), lambda event: None)
     assert store
     pair = Pair(tmp_path, "n0")
     verdict = VerdictRow("s-0", now_ms() + 60_000, Status.RESET)
-    monkeypatch.setattr(outside, "snapshot", lambda: Remembered((), (verdict,)))
-    following = asyncio.create_task(learned_state.Memory(store, pair, outside, keeps_pins=False).follow())
+    monkeypatch.setattr(outside, "snapshot", lambda: PersistedState((), (verdict,)))
+    following = asyncio.create_task(
+        learned_state.LearnedState(store, pair, outside, keeps_pins=False).follow()
+    )
     outside.on_remember()
     await until(lambda: [r.id for r in store.records(learned_state.VERDICT)] == ["s-0"])
     following.cancel()
@@ -156,8 +160,8 @@
     """Each second's snapshot tells it again, as an age, and the times reckoned from that differ by 1 ms."""
     store, outside = Store.open(tmp_path, "n0"), Outside(Servers({}, 0), lambda event: None)
     assert store
-    kept, written = learned_state.Memory(store, Pair(tmp_path, "n0"), outside, keeps_pins=False), []
+    kept, written = learned_state.LearnedState(store, Pair(tmp_path, "n0"), outside, keeps_pins=False), []
     for at_ms in (5_000, 5_001, 5_000, 5_001, 5_003, 5_002):
-        written += kept._changed(Remembered([LearnedRow("s-0", 1.0, 0.0, at_ms)], []))
+        written += kept._changed(PersistedState([LearnedRow("s-0", 1.0, 0.0, at_ms)], []))
     assert [record.at_ms for record in written] == [5_000, 5_003]
     store.close()
--- a/tests/test_stored_list.py
+++ b/tests/test_stored_list.py
@@ -18,7 +18,7 @@
 from anisespool.config import Address, MemberList
 from anisespool.state import tables
 from anisespool.state.list_snapshot import ListSnapshot, digest
-from anisespool.state.store import ListHead, Store, now_ms, place
+from anisespool.state.store import ListHead, Store, now_ms, store_path
 from tests.fleet import fleet
 from tests.net import OK, Endpoint, TellingDiscovery, member, member_list, until
 
@@ -37,7 +37,7 @@
 def stored(home: Path) -> tuple[int, Entries]:
     """The revision and the entries of the list in n0's file, as one moment has them."""
     try:
-        with closing(sqlite3.connect(f"file:{place(home, 'n0')}?mode=ro", uri=True)) as connection:
+        with closing(sqlite3.connect(f"file:{store_path(home, 'n0')}?mode=ro", uri=True)) as connection:
             connection.execute("BEGIN")
             head = connection.execute("SELECT revision, etag FROM list_heads").fetchone()
             rows = connection.execute("SELECT server, body FROM list_rows").fetchall()
@@ -154,7 +154,7 @@
     async with TellingDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
         await it.start(0, discovery.address, rows)
         await until(lambda: stored(it.home(0))[0] == 2)
-        full = Path(f"{place(it.home(0), 'n0')}-wal").stat().st_size  # no commit can add to it
+        full = Path(f"{store_path(it.home(0), 'n0')}-wal").stat().st_size  # no commit can add to it
         pid, free = it.processes[0].pid, resource.RLIM_INFINITY
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (full, free))
         discovery.say(member_list(3, drained[:1], False))
@@ -172,7 +172,7 @@
         rows = [member("s-0", drains.address), member("s-1", stays.address)]
         later = member_list(3, [rows[0] | {"phase": "draining"}, rows[1]])
         it.home(0).mkdir()
-        with closing(sqlite3.connect(place(it.home(0), "n0"))) as connection, connection:
+        with closing(sqlite3.connect(store_path(it.home(0), "n0"))) as connection, connection:
             connection.executescript(FORMER_SCHEMA)
             body = json.dumps(later | {"whole": True})
             connection.execute("INSERT INTO lists VALUES ('n0', 3, ?, ?)", (now_ms(), body))
@@ -184,7 +184,7 @@
         async with TellingDiscovery(member_list(4, rows[1:], False)).serve() as discovery:
             await it.start(0, discovery.address, rows)
             await until(lambda: stored(it.home(0)) == (4, {row["id"]: row for row in later["members"]}))
-        with closing(sqlite3.connect(place(it.home(0), "n0"))) as connection:
+        with closing(sqlite3.connect(store_path(it.home(0), "n0"))) as connection:
             assert connection.execute("SELECT count(*) FROM lists").fetchone() == (0,)
 
 
@@ -223,7 +223,7 @@
         for line in (member_list(2, rows), member_list(3, drained if complete else drained[7:8], complete)):
             for store, it in opened:
                 before, task = store._writer.total_changes, asyncio.create_task(it.follow())
-                it.heard(line, MemberList(line["revision"], line["complete"], ()))
+                it.on_update(line, MemberList(line["revision"], line["complete"], ()))
                 await until(lambda store=store, before=before: store._writer.total_changes > before)  # type: ignore[misc]
                 await store.put(())  # after the write under way
                 written.append(store._writer.total_changes - before)
@@ -243,8 +243,8 @@
 ) -> None:
     it = ListSnapshot(store, ())
     task = asyncio.create_task(it.follow())
-    it.heard(member_list(revision, [member(server, NOWHERE)]), MemberList(revision, True, ()))
+    it.on_update(member_list(revision, [member(server, NOWHERE)]), MemberList(revision, True, ()))
     await until(lambda: "the list is not stored" in capfd.readouterr().err)
-    it.heard(member_list(3, [member("s-1", NOWHERE)]), MemberList(3, True, ()))
+    it.on_update(member_list(3, [member("s-1", NOWHERE)]), MemberList(3, True, ()))
     await until(lambda: (found := store.last_list()) is not None and found[0].revision == 3)
     task.cancel()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from anisespool.state.store import place
+from anisespool.state.store import store_path
 from tests.fleet import Fleet, fleet
 from tests.net import (
     OK,
@@ -58,7 +58,7 @@
 
 def stored(home: Path, query: str) -> int:
     try:
-        with closing(sqlite3.connect(f"file:{place(home, 'n0')}?mode=ro", uri=True)) as connection:
+        with closing(sqlite3.connect(f"file:{store_path(home, 'n0')}?mode=ro", uri=True)) as connection:
             row = connection.execute(query).fetchone()
     except sqlite3.Error:
         return 0
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -15,11 +15,11 @@
 import pytest
 
 from anisespool.config import Address
-from anisespool.fleet.shared_state import verdicts_datagrams
+from anisespool.fleet.shared_state import encode_verdicts
 from anisespool.peers import QUIET_S, shared_id
 from anisespool.state import peer_lists
-from anisespool.state.learned_state import PIN, PIN_S, VERDICT
-from anisespool.state.store import now_ms, place
+from anisespool.state.learned_state import PIN, PIN_WRITE_INTERVAL_S, VERDICT
+from anisespool.state.store import now_ms, store_path
 from shuntlead.interface import Ejection, Status
 from shuntlead.outliers import MAX_EJECTION_NS
 from tests.fleet import Fleet, fleet
@@ -38,7 +38,7 @@
 def stored_revision(home: Path, n: int) -> int:
     """Of the list that a sidecar's store holds, once it has put one there."""
     try:
-        with closing(sqlite3.connect(f"file:{place(home, f'n{n}')}?mode=ro", uri=True)) as store:
+        with closing(sqlite3.connect(f"file:{store_path(home, f'n{n}')}?mode=ro", uri=True)) as store:
             return int((store.execute("SELECT revision FROM list_heads").fetchone() or [0])[0])
     except sqlite3.Error:
         return 0
@@ -46,14 +46,14 @@
 
 def stored(home: Path, n: int, kind: str) -> int:
     """How many records of a kind a sidecar's store holds."""
-    with closing(sqlite3.connect(f"file:{place(home, f'n{n}')}?mode=ro", uri=True)) as store:
+    with closing(sqlite3.connect(f"file:{store_path(home, f'n{n}')}?mode=ro", uri=True)) as store:
         return int(store.execute("SELECT count(*) FROM records WHERE kind = ?", (kind,)).fetchone()[0])
 
 
 def lengthen_verdicts(home: Path, n: int) -> None:
     """Of a sidecar that is down, to the longest there is. The first lasts 5 s, and the next starts
     of processes on a busy machine as long."""
-    with closing(sqlite3.connect(place(home, f"n{n}"))) as store, store:
+    with closing(sqlite3.connect(store_path(home, f"n{n}"))) as store, store:
         until_ms = now_ms() + MAX_EJECTION_NS // 1_000_000
         store.execute("UPDATE records SET until_ms = ? WHERE kind = ?", (until_ms, VERDICT))
 
@@ -101,25 +101,25 @@
         rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
         ids = [shared_id(row["id"]) for row in rows]
         loop = asyncio.get_running_loop()
-        lies = verdicts_datagrams([Ejection(n, 10**10, Status.RESET) for n in ids])
+        lies = encode_verdicts([Ejection(n, 10**10, Status.RESET) for n in ids])
         asked = []
 
         async def answer(n: int, sock: socket.socket) -> None:
             while True:
                 data = await loop.sock_recv(sock, 4096)
-                if data[:1] != peer_lists.ASK:
+                if data[:1] != peer_lists.QUERY:
                     continue
                 asked.append(n)
                 nonce = int.from_bytes(data[1:5], "little")
                 lie = [
-                    *peer_lists.parts(nonce, 10**6, []),
+                    *peer_lists.encode_list(nonce, 10**6, []),
                     *lies,
                     b"\x03",
                     b"\x04xy",
                     os.urandom(257),
                     b"\x09",
                 ]
-                for each in lie if n == 1 else peer_lists.parts(nonce, 4, []):
+                for each in lie if n == 1 else peer_lists.encode_list(nonce, 4, []):
                     it.relay.deliver(n, 0, each)
 
         answering = []
@@ -181,7 +181,7 @@
 
 
 def stored_pins(home: Path) -> int:
-    with closing(sqlite3.connect(f"file:{place(home, 'n0')}?mode=ro", uri=True)) as store:
+    with closing(sqlite3.connect(f"file:{store_path(home, 'n0')}?mode=ro", uri=True)) as store:
         return int(store.execute("SELECT count(*) FROM records WHERE kind = 'pin'").fetchone()[0])
 
 
@@ -201,7 +201,7 @@
                 while stored_pins(it.home(0)) <= n:
                     await asyncio.sleep(0.001)
                 await it.kill(9)
-                await asyncio.sleep(10 * PIN_S)
+                await asyncio.sleep(10 * PIN_WRITE_INTERVAL_S)
                 assert await it.request(0, f"b{n}", **fields) == 200
                 reached = [{b"a%d" % n, b"b%d" % n} & traces(side) for side in (east, west)]
                 assert sorted(map(len, reached)) == [0, 2], n
@@ -238,7 +238,7 @@
             for n in range(8):
                 asking.append(await ask(it, 0, f"a{n}", n))
                 if upgrade:
-                    await asyncio.sleep(10 * PIN_S)  # the other process looks each PIN_S
+                    await asyncio.sleep(10 * PIN_WRITE_INTERVAL_S)  # the other process looks each PIN_S
                 else:
                     await it.kill(0)
                     await it.start(0, discovery.address, rows, request_classes=LONG_WINDOW)
