--- a/anisespool/__init__.py
+++ b/anisespool/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, timers and framing round the decisions of `shuntlead`."""
+"""The sidecar process: sockets, timers and HTTP framing around the decision module `shuntlead`."""
--- a/anisespool/__main__.py
+++ b/anisespool/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and the end of one sidecar. The log goes to standard error."""
+"""Starts one sidecar process, handles its signals and shuts it down. The log goes to standard error."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from anisespool.config import Address, Config, load
 from anisespool.discovery.watch import AddressChange
 from anisespool.errors import ConfigError, ConfigUnreadable
-from anisespool.log import say
-from anisespool.reload import Reload
+from anisespool.log import log_info
+from anisespool.reload import ConfigReloader
 from anisespool.service import Service
 from anisespool.supervision import supervise
 
-WHOLE_S, WHOLE_AGAIN_S = 2.0, 0.05  # for a file that is being written as the process starts
+# Total time, and time between reads: the file may be half written when the process starts.
+CONFIG_READ_TIMEOUT_S, CONFIG_READ_RETRY_S = 2.0, 0.05
 
 
 async def run(
@@ -30,20 +31,21 @@
 
 
 async def _until_signalled(config: Config) -> None:
-    loop, stop, reload = asyncio.get_running_loop(), asyncio.Event(), Reload(os.environ, config)
+    loop, stop, reload = asyncio.get_running_loop(), asyncio.Event(), ConfigReloader(os.environ, config)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, reload.ask)
-    reload.ask()  # for a signal that came before its handler stood
-    following = loop.create_task(supervise("the configuration's reader", reload.follow))
+    loop.add_signal_handler(signal.SIGHUP, reload.request)
+    reload.request()  # covers a SIGHUP that arrived before its handler was installed
+    following = loop.create_task(supervise("the configuration reader", reload.follow))
     try:
         await run(config, stop, reload.moves, lambda address: None)
     finally:
         following.cancel()
 
 
-def load_once_whole(env: Mapping[str, str], wait_s: float = WHOLE_S) -> Config:
-    """The configuration; a file that is being replaced is read again, for `wait_s`. Raises ConfigError."""
+def load_with_retries(env: Mapping[str, str], wait_s: float = CONFIG_READ_TIMEOUT_S) -> Config:
+    """Load the configuration. A file that cannot be read or parsed yet is retried for `wait_s`. Raises
+    ConfigError."""
     until_s = time.monotonic() + wait_s
     while True:
         try:
@@ -51,15 +53,15 @@
         except ConfigUnreadable:
             if time.monotonic() >= until_s:
                 raise
-        time.sleep(WHOLE_AGAIN_S)
+        time.sleep(CONFIG_READ_RETRY_S)
 
 
 def main() -> int:
     try:
-        config = load_once_whole(os.environ)
+        config = load_with_retries(os.environ)
         asyncio.run(_until_signalled(config))
     except ConfigError as error:
-        say("anisespool", str(error))
+        log_info("anisespool", str(error))
         return 2
     return 0
 
--- a/anisespool/admin.py
+++ b/anisespool/admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: one line in, one line out, and the connection ends."""
+"""The admin address for operators: one line in, one line out, then the connection is closed."""
 
 from __future__ import annotations
 
@@ -11,70 +11,77 @@
 from anisespool.front.listener import Acceptor
 from anisespool.sockets import end_output
 
-MAX_LINE = 512
-MOST_CALLERS = 8  # the one that has kept us waiting longest makes room for a further one
-CALL_S = 2.25  # for a whole line: a peer that sends none is owed an end within 3 s
-LINGER_S = 0.5  # to let a caller read its answer, whatever else it has sent
-ACCEPT_PAUSE_S = 0.02  # with no descriptor left, or where accept(2) fails in an unknown way
-ACCEPTED_AT_ONCE = 4
+MAX_LINE_BYTES = 512
+MAX_CALLERS = 8  # open admin connections; one more closes the oldest
+CALL_TIMEOUT_S = 2.25  # to receive a complete line: an idle connection must be closed within 3 s
+LINGER_S = 0.5  # before the abort, so that the caller can read its answer even with input left unread
+ACCEPT_PAUSE_S = 0.02  # when descriptors run out, or accept(2) fails with an unexpected error
+MAX_ACCEPTS_AT_ONCE = 4  # per event loop callback
 
 
-Call = Callable[[str], Awaitable[str]]  # the one argument, or "" where the call has none
+AdminCall = Callable[
+    [str], Awaitable[str]
+]  # takes the argument, "" for a call without one; returns the answer
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
+    """One connection: reads a single call, writes its answer and closes."""
+
     def __init__(self, admin: Admin) -> None:
         self._admin = admin
         self._line = b""
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self.asked = self._answered = False  # its line is whole; its answer is written
+        self.is_received = self._is_answered = False  # the call's line is complete; its answer was written
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._timer = asyncio.get_running_loop().call_later(CALL_S, self.give_up, "no call came in time")
-        self._admin.admit(self)
+        self._timer = asyncio.get_running_loop().call_later(
+            CALL_TIMEOUT_S, self.reject, "no call came in time"
+        )
+        self._admin.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.asked:
+        if self.is_received:
             return
-        line, end, _ = (self._line + data[: MAX_LINE + 1]).partition(b"\n")
-        if len(line) > MAX_LINE:
-            self.give_up(f"a line has {MAX_LINE} bytes at most")
+        line, end, _ = (self._line + data[: MAX_LINE_BYTES + 1]).partition(b"\n")
+        if len(line) > MAX_LINE_BYTES:
+            self.reject(f"a line has {MAX_LINE_BYTES} bytes at most")
         elif end:
-            self._ask(line)
+            self._submit(line)
         else:
             self._line = line
 
     def eof_received(self) -> bool:
-        if not self.asked and self._line:
-            self._ask(self._line)
-        elif not self.asked:
+        if not self.is_received and self._line:
+            self._submit(self._line)
+        elif not self.is_received:
             return False
-        return not self._answered  # our side stays open for the answer, and no longer: it holds a place
+        return not self._is_answered  # keep our side open only until the answer is written
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.asked = True
+        self.is_received = True
         if self._timer:
             self._timer.cancel()
-        self._admin.callers.pop(self, None)
+        self._admin.connections.pop(self, None)
 
-    def _ask(self, line: bytes) -> None:
-        self.asked = True
+    def _submit(self, line: bytes) -> None:
+        self.is_received = True
         self._admin.ask(line, self.answer)
 
-    def give_up(self, why: str) -> None:
-        if not self.asked:
-            self.asked = True
+    def reject(self, why: str) -> None:
+        if not self.is_received:
+            self.is_received = True
             self.answer(f"FAILURE {why}")
 
     def answer(self, text: str) -> None:
-        """Closing with input unread resets the connection, and the caller never reads the answer."""
+        """Write the answer, then shut down the output only: closing a socket with unread input sends a reset,
+        and the caller would lose the answer."""
         if self._timer:
             self._timer.cancel()
         if self._transport and not self._transport.is_closing():
-            self._answered = True
+            self._is_answered = True
             self._transport.write(text.encode() + b"\n")
             self._timer = end_output(self._transport, LINGER_S)
 
@@ -84,18 +91,21 @@
 
 
 class Admin:
-    """Listens for operators. Whoever is slow holds a place, and nobody else up."""
+    """Accepts admin connections and runs their calls. A slow caller does not delay the others."""
 
-    def __init__(self, calls: Mapping[str, Call], make_room: Callable[[], object]) -> None:
-        """`calls` by name, with a blank at its end where an argument comes; `make_room` frees a place."""
+    def __init__(self, calls: Mapping[str, AdminCall], make_room: Callable[[], object]) -> None:
+        """`calls`: by name, with a trailing space if the call takes an argument. `make_room` closes a
+        connection to free a descriptor."""
         self._calls, self._make_room = calls, make_room
-        self.callers: dict[Caller, None] = {}  # in the order in which they came
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
         self._listener: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, listener: socket.socket) -> Address:
         self._listener = listener
-        Acceptor("admin", listener, ACCEPT_PAUSE_S, self._make_room, self._accepted, ACCEPTED_AT_ONCE).start()
+        Acceptor(
+            "admin", listener, ACCEPT_PAUSE_S, self._make_room, self._on_accepted, MAX_ACCEPTS_AT_ONCE
+        ).start()
         return Address(*listener.getsockname())
 
     def close(self) -> None:
@@ -103,14 +113,14 @@
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
             self._listener = None
-        for caller in list(self.callers):
-            caller.abort()
-
-    def admit(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            oldest = next(iter(self.callers))
-            self.callers.pop(oldest)
+        for connection in list(self.connections):
+            connection.abort()
+
+    def add(self, connection: AdminConnection) -> None:
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CALLERS:
+            oldest = next(iter(self.connections))
+            self.connections.pop(oldest)
             oldest.abort()
 
     def ask(self, line: bytes, answer: Callable[[str], None]) -> None:
@@ -132,14 +142,14 @@
                 return f"{name} takes {'the id of a server' if call != name else 'nothing more'}"
         return f"no such call; there are {', '.join(call.strip() for call in self._calls)}"
 
-    def _accepted(self, connected: socket.socket) -> None:
+    def _on_accepted(self, connected: socket.socket) -> None:
         self._start(self._serve(connected))
 
     async def _serve(self, connected: socket.socket) -> None:
         try:
             connected.setblocking(False)
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: Caller(self), connected)
-        except OSError:  # it has been reset by now
+            await asyncio.get_running_loop().connect_accepted_socket(lambda: AdminConnection(self), connected)
+        except OSError:  # the caller has reset the connection
             connected.close()
 
     def _start(self, work: Awaitable[None]) -> None:
@@ -149,7 +159,7 @@
 
 
 def _parse(line: bytes) -> tuple[str, str]:
-    """The call's name, with a blank at its end where an argument came, and the argument."""
+    """The call's name, with a trailing space if an argument follows, and the argument."""
     try:
         words = line.decode("utf-8").split()
     except UnicodeDecodeError:
--- a/anisespool/admin_commands.py
+++ b/anisespool/admin_commands.py
@@ -1,28 +1,28 @@
-"""What operators may ask of a sidecar, and what it answers."""
+"""The calls of the admin address, and their answers."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from anisespool.admin import Call
+from anisespool.admin import AdminCall
 from anisespool.config import Config
 from anisespool.errors import NoStore, NotServing, UnknownServer
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.maintenance import Maintenance
 from anisespool.sidecar import Sidecar
 from anisespool.state.store import SCHEMA
 
-STATE_SHOWN = 20  # server ids in the answer to STATE: a line stays short however many are out
+STATE_SHOWN = 20  # maximum server ids in an answer, to limit its length
 
 
-class Operators:
-    """`serving` and `stopping`: what this process is at, kept by its owner."""
+class AdminCommands:
+    """Implements the admin calls. `serving` and `stopping` are the state of the process, set by its owner."""
 
     def __init__(self, config: Config, sidecar: Sidecar, maintenance: Maintenance) -> None:
         self._config, self._sidecar, self._maintenance = config, sidecar, maintenance
         self._store = maintenance.store
         self.serving = self.stopping = False
-        self.calls: dict[str, Call] = {
+        self.calls: dict[str, AdminCall] = {
             "READY": self._ready, "DISABLE ": self._disable, "ENABLE ": self._enable, "STATE": self._state,
             "FLEET": self._fleet_state}  # fmt: skip
 
@@ -42,7 +42,7 @@
         return f"{server} may serve"
 
     async def _state(self, argument: str) -> str:
-        """What the store keeps: the servers out, by id, the first few of them."""
+        """The state store and the ids of the disabled servers, up to STATE_SHOWN."""
         if self._store is None or not self._store.is_open:
             raise NoStore("no state store")
         out = sorted(server for server, order in self._maintenance.orders.items() if order.out)
@@ -50,9 +50,9 @@
         return f"store {self._store.path.name} schema {SCHEMA}; {len(out)} out: {shown}".rstrip()
 
     async def _fleet_state(self, argument: str) -> str:
-        """What is known of the fleet: tenants' rates a second and quotas, how old the reports are, and the
-        servers ejected."""
-        shared, tenants = self._sidecar.outside.share_reports(), self._config.settings.tenants
+        """The state of the fleet: each tenant's request rate and quota per second, the number and age of the
+        reports from other sidecars, and the ejected servers."""
+        shared, tenants = self._sidecar.external.share_reports(), self._config.settings.tenants
         rates = (f"{name} {shared.fleet_rates[n]:.1f} of {tenants[n].quota_per_s:.1f}/s"
                  for name, n in self._config.names.tenants.items())  # fmt: skip
         ages = sorted(report.age_ns / 1e9 for report in shared.reports[1:])
@@ -61,12 +61,12 @@
         shown = " ".join(out[:STATE_SHOWN]) + (" ..." if len(out) > STATE_SHOWN else "")
         return f"{', '.join(rates)}; {len(ages)} reports{oldest}; {len(out)} ejected: {shown}".rstrip()
 
-    def ordered(self, servers: Iterable[str]) -> None:
-        """By a call here, or at the other process of an upgrade."""
+    def on_orders(self, servers: Iterable[str]) -> None:
+        """Orders have changed, by a call here or at the other process of an upgrade."""
         servers = list(servers)
         for server in servers:
-            state = "out" if self._maintenance.orders[server].out else "called back, and cold from now"
-            say("maintenance", f"{server} is {state}")
+            state = "out" if self._maintenance.orders[server].out else "enabled again and treated as cold"
+            log_info("maintenance", f"{server} is {state}")
         self._sidecar.refresh(servers)
 
     async def _order(self, server: str, out: bool) -> None:
--- a/anisespool/body_stream.py
+++ b/anisespool/body_stream.py
@@ -1,88 +1,89 @@
-"""A body that is too long to hold, on its way from one connection to another."""
+"""A message body that is too long to buffer, passed from one connection to another as it arrives."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-CHUNK = 64 * 1024  # read at a time
-# What connections read into. A fresh buffer for each read, cut to what came, leaves the heap in
-# pieces. One is enough, as the loop reads and hands over before it turns to the next connection.
-_buffer = bytearray(CHUNK)
+CHUNK_BYTES = 64 * 1024  # maximum size of one read
+# Shared by all connections: allocating a buffer for each read and truncating it fragments the heap. One is
+# enough, as the event loop processes the data of one connection before it reads from the next.
+_buffer = bytearray(CHUNK_BYTES)
 read_buffer = memoryview(_buffer)
 
 
 class Sink(Protocol):
-    """Where the bytes go."""
+    """Receives the body."""
 
-    def flow_data(self, data: bytes) -> None: ...
+    def stream_data(self, data: bytes) -> None: ...
 
-    def flow_end(self) -> None: ...
+    def stream_end(self) -> None: ...
 
-    def flow_broken(self) -> None: ...
+    def stream_failed(self) -> None: ...
 
 
-class Flow:
-    """Bytes that come before there is a sink are held, and the source paused: so never a whole body is."""
+class BodyStream:
+    """Passes data from a source to a sink. Data that arrives before a sink is attached is buffered and the
+    source paused, so that only a small part of the body is ever in memory."""
 
     def __init__(self, length: int | None, pause: Callable[[], None], resume: Callable[[], None]) -> None:
-        self.length = length  # None: not told ahead
+        self.length = length  # None: unknown in advance (chunked, or until the connection closes)
         self.done = self.broken = self.paused = False
-        self._held: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._sink: Sink | None = None
-        self._dropped = False
+        self._discarded = False
         self._pause, self._resume = pause, resume
 
-    # The source's side ----------------------------------------------------------------------------
+    # Called by the source -------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
         if self._sink:
-            self._sink.flow_data(data)
-        elif not self._dropped:
-            self._held.append(data)
-            self.hold()
+            self._sink.stream_data(data)
+        elif not self._discarded:
+            self._buffered.append(data)
+            self.pause()
 
     def end(self) -> None:
-        """Nobody lets go of a source that is held when its last bytes come, and what follows them is
-        never read. There is nothing left to hold back."""
+        """The body is complete. Resumes a paused source: no sink would do so any more, and what follows the
+        body on that connection would never be read."""
         if not self.broken and not self.done:
             self.done = True
-            self.go()
+            self.resume()
             if self._sink:
-                self._sink.flow_end()
+                self._sink.stream_end()
 
     def fail(self) -> None:
-        """The rest will not come."""
+        """The source has failed before the end of the body."""
         if not self.broken and not self.done:
             self.broken = True
             if self._sink:
-                self._sink.flow_broken()
+                self._sink.stream_failed()
 
-    # The sink's side ------------------------------------------------------------------------------
+    # Called by the sink ---------------------------------------------------------------------------
 
     def attach(self, sink: Sink) -> None:
-        """What is held goes to the sink at once, and the source goes on unless the sink says to hold."""
-        self._sink, held, self._held = sink, self._held, []
-        self.go()
-        for data in held:
-            sink.flow_data(data)
+        """Resume the source and pass the buffered data to the sink, which may pause the source again."""
+        self._sink, buffered, self._buffered = sink, self._buffered, []
+        self.resume()
+        for data in buffered:
+            sink.stream_data(data)
         if self.done:
-            sink.flow_end()
+            sink.stream_end()
         elif self.broken:
-            sink.flow_broken()
+            sink.stream_failed()
 
-    def drop(self) -> None:
-        """Nobody wants the rest."""
-        self._sink, self._dropped = None, True
-        self._held.clear()
-        self.go()
+    def discard(self) -> None:
+        """Discard the rest of the body."""
+        self._sink, self._discarded = None, True
+        self._buffered.clear()
+        self.resume()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if not self.paused and not self.done:
             self.paused = True
             self._pause()
 
-    def go(self) -> None:
+    def resume(self) -> None:
         if self.paused:
             self.paused = False
             self._resume()
--- a/anisespool/clock.py
+++ b/anisespool/clock.py
@@ -1,13 +1,14 @@
-"""Unix time that no step of the wall clock moves.
+"""Unix time that is not affected by steps of the wall clock.
 
-The wall clock may step by an hour, either way, under a running process and between two of them. So what this
-process writes to the state store, and the ages of what it reads there, go by one steady clock: monotonic time
-plus an epoch, which is taken from the wall clock once and handed on through the store to the next process of
-the same boot (anisespool/state/clock.py). After a reboot, and where the boot cannot be told, the epoch is the
-wall clock's again.
+The wall clock may step by an hour in either direction, while a process runs or between two processes.
+Timestamps in the state store, and ages computed from them, therefore use a steady clock: monotonic time plus
+an epoch. The epoch is taken from the wall clock once, and passed through the store to the next process of the
+same boot (anisespool/state/clock.py). After a reboot, or if the boot cannot be identified, it is taken from
+the wall clock again.
 
-What other machines date by their wall clocks (starts of servers) may be by any epoch that the wall clock has
-had here: of the dates that these give, the latest that has passed is taken.
+Other machines give the start times of servers by their own wall clocks, which may match any epoch that the
+local wall clock has had. Each such time is converted with all known epochs, and the latest result in the past
+is used.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 import time
 from collections.abc import Iterable
 
-from anisespool.log import say
+from anisespool.log import log_info
 
-STEP_NS = 250_000_000  # two readings of an epoch on a busy machine differ by less, a step by more
-SKEW_NS = 1_000_000_000  # by how much machines' clocks may differ with no step
-MOST_EPOCHS = 4  # that dates may be by: the steady clock's, and the wall clock's latest
-READINGS = 3
+STEP_NS = 250_000_000  # smaller differences between two readings are noise of a busy machine
+SKEW_NS = 1_000_000_000  # between the clocks of two machines, without a step
+MAX_EPOCHS = 4  # kept for conversions: the steady clock's, and the wall clock's most recent ones
+READINGS = 3  # of the wall clock, for each measurement of its epoch
 
 
 def wall_epoch_ns() -> int:
-    """Unix time less monotonic time, by the wall clock as it is now. Of some readings the one that was
-    interrupted least."""
+    """The wall clock's current epoch: Unix time minus monotonic time. Of several readings, the one that took
+    the least time counts, as an interruption falsifies a reading."""
     readings = []
     for _ in range(READINGS):
         before_ns, wall_ns, after_ns = time.monotonic_ns(), time.time_ns(), time.monotonic_ns()
@@ -34,36 +35,39 @@
 
 
 class SteadyClock:
-    """`epoch_ns`: Unix time less monotonic time. `is_continued`: the earlier process's clock goes on here."""
+    """`epoch_ns`: Unix time minus monotonic time. `is_resumed`: the epoch comes from an earlier process."""
 
     def __init__(self) -> None:
         self.epoch_ns = wall_epoch_ns()
-        self.epochs_ns = [self.epoch_ns]  # all that the wall clock is known to have had, its latest last
-        self.is_continued = False
+        self.epochs_ns = [self.epoch_ns]  # own epoch first, then those of the wall clock, latest last
+        self.is_resumed = False
 
     def unix_ms(self) -> int:
         return (time.monotonic_ns() + self.epoch_ns) // 1_000_000
 
-    def continue_from(self, epochs_ns: Iterable[int]) -> None:
-        """Go on as the clock of an earlier process of the same boot, with these epochs, its own first."""
+    def resume_from(self, epochs_ns: Iterable[int]) -> None:
+        """Continue the clock of an earlier process of the same boot. `epochs_ns`: that clock's own epoch
+        first."""
         self.epochs_ns = list(epochs_ns)
-        self.epoch_ns, self.is_continued = self.epochs_ns[0], True
-        self.look()
+        self.epoch_ns, self.is_resumed = self.epochs_ns[0], True
+        self.detect_step()
 
-    def look(self) -> None:
-        """Notice a step of the wall clock since the last look."""
+    def detect_step(self) -> None:
+        """Detect a step of the wall clock since the last call, and record its new epoch."""
         epoch_ns = wall_epoch_ns()
         if all(abs(epoch_ns - known_ns) >= STEP_NS for known_ns in self.epochs_ns):
             step_s = (epoch_ns - self.epochs_ns[-1]) / 1e9
-            say("anisespool", f"the wall clock stepped by {step_s:.1f} s; no time here depends on it")
-            self.epochs_ns = [self.epoch_ns, *self.epochs_ns[1:][2 - MOST_EPOCHS :], epoch_ns]
-
-    def passed_ns(self, unix_ms: int) -> int:
-        """The monotonic time of what a wall clock dated, and which has happened: at the latest now.
-        Too early a date makes a cold server pass for warm, so where there are several, it is the latest."""
+            log_info(
+                "anisespool", f"the wall clock stepped by {step_s:.1f} s; the steady clock is not affected"
+            )
+            self.epochs_ns = [self.epoch_ns, *self.epochs_ns[1:][2 - MAX_EPOCHS :], epoch_ns]
+
+    def to_past_monotonic_ns(self, unix_ms: int) -> int:
+        """Convert the Unix time of a past event to monotonic time, now at the latest. Of several possible
+        times the latest is used: too early a start time would make a cold server count as warm."""
         now_ns, at_ns = time.monotonic_ns(), unix_ms * 1_000_000
         dates = [at_ns - epoch_ns for epoch_ns in self.epochs_ns if at_ns - epoch_ns <= now_ns + SKEW_NS]
         return min(max(dates, default=now_ns), now_ns)
 
 
-CLOCK = SteadyClock()  # this process's
+CLOCK = SteadyClock()  # shared by the whole process
--- a/anisespool/config.py
+++ b/anisespool/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a sidecar: environment and JSON, read once into frozen types."""
+"""Configuration from environment variables and a JSON file, parsed into immutable types."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 
 class PeerAddresses(NamedTuple):
-    """Where datagrams between sidecars go; `peers` are in the order of their numbers in the settings."""
+    """UDP addresses for messages between sidecars; `peers` is indexed by the sidecar numbers of the settings.
+    `all` reaches every sidecar at once."""
 
     listen: Address
     peers: tuple[Address, ...]
@@ -37,19 +38,19 @@
     settings: Settings
     names: NameIndex
     known: MemberList
-    peers: PeerAddresses | None  # None: the settings allow no messages, or no address was given
-    admin: Address | None = None  # where operators call; None: nowhere
-    inherited_fd: int | None = None  # the clients' listening socket, where the platform holds it
-    folder: Path | None = None  # what is in it outlives the process in an upgrade
-    state_dir: Path | None = None  # where the state store is; None: nothing outlives the process
-    known_members: tuple[dict[str, Any], ...] = ()  # `known`'s entries, in discovery's own form
+    peers: PeerAddresses | None  # None: disabled by the settings, or no address given
+    admin: Address | None = None  # None: no admin address
+    inherited_fd: int | None = None  # listening socket for clients, if the platform owns it
+    shared_dir: Path | None = None  # directory shared by the two processes of an upgrade
+    state_dir: Path | None = None  # of the state store; None: no state is kept
+    known_members: tuple[dict[str, Any], ...] = ()  # the entries of `known`, as in discovery's JSON
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """The whole configuration, or a ConfigError that names what is missing or wrong."""
+    """Parse the complete configuration. Raises ConfigError, which names the missing or invalid item."""
     raw = _read_file(env)
     if not isinstance(raw.get("settings"), dict):
-        raise ConfigError("LB_CONFIG: key settings: an object is needed")
+        raise ConfigError("LB_CONFIG: key settings: must be an object")
     try:
         settings = Settings.from_dict(raw["settings"])
     except (SettingsError, ValueError, OverflowError) as error:
@@ -69,18 +70,19 @@
         peers=_peers(raw) if settings.may_message else None,
         admin=_admin(env, raw),
         inherited_fd=_inherited_fd(env),
-        folder=Path(env["TMPDIR"]) if env.get("TMPDIR") else None,
+        shared_dir=Path(env["TMPDIR"]) if env.get("TMPDIR") else None,
         state_dir=_state_dir(env, raw),
         known_members=tuple((raw.get("known") or {}).get("members", ())),
     )
 
 
-def reload_discovery(env: Mapping[str, str], otherwise: Address | None = None) -> Address:
-    """Where the file, replaced since the start, says that discovery is. The variable is as old as we are.
-    `otherwise`: where it is if the file does not say. ConfigError: the file cannot be read."""
+def reload_discovery(env: Mapping[str, str], default: Address | None = None) -> Address:
+    """Discovery's address from the configuration file, which may have changed since the start; the
+    environment variable cannot have. `default`: returned if the file has no such key. Raises ConfigError if
+    the file cannot be read or its address is invalid."""
     raw = _read_file(env)
-    if otherwise and "discovery" not in raw:
-        return otherwise
+    if default and "discovery" not in raw:
+        return default
     try:
         return Address.parse(raw.get("discovery"))
     except ConfigError:
@@ -118,26 +120,26 @@
     try:
         return int(raw, 16)
     except (TypeError, ValueError):
-        raise ConfigError(f"LB_CONFIG: key seed: {raw!r} is no hexadecimal number") from None
+        raise ConfigError(f"LB_CONFIG: key seed: {raw!r} is not a hexadecimal number") from None
 
 
 def _number(raw: dict[str, Any], parent: str, key: str, default: int) -> int:
     value = (raw.get(parent) or {}).get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 1:
-        raise ConfigError(f"LB_CONFIG: key {parent}.{key}: {value!r} is no number above 0")
+        raise ConfigError(f"LB_CONFIG: key {parent}.{key}: {value!r} is not a number of at least 1")
     return int(value)
 
 
 def _names(raw: dict[str, Any]) -> NameIndex:
-    def places(key: str, named: bool) -> dict[str, int]:
+    def indexes(key: str, named: bool) -> dict[str, int]:
         try:
             rows = raw.get(key) or []
             return {row["name"] if named else str(row): n for n, row in enumerate(rows)}
         except (KeyError, TypeError):
-            raise ConfigError(f"LB_CONFIG: key settings.{key}: names are needed") from None
+            raise ConfigError(f"LB_CONFIG: key settings.{key}: each entry needs a name") from None
 
-    classes, tenants = places("request-classes", True), places("tenants", True)
-    return NameIndex(classes, tenants, places("zones", False), places("skus", False), CLOCK.epoch_ns)
+    classes, tenants = indexes("request-classes", True), indexes("tenants", True)
+    return NameIndex(classes, tenants, indexes("zones", False), indexes("skus", False), CLOCK.epoch_ns)
 
 
 def _known(names: NameIndex, raw: Any) -> MemberList:
@@ -161,10 +163,11 @@
 
 
 def _state_dir(env: Mapping[str, str], raw: dict[str, Any]) -> Path | None:
-    """`LB_STATE_DIR`, over key `state_dir`, over `TMPDIR`, which both processes of an upgrade have."""
+    """The first that is set of `LB_STATE_DIR`, key `state_dir` and `TMPDIR`, which an upgrade's processes
+    share."""
     key = raw.get("state_dir")
     if key is not None and not (isinstance(key, str) and key):
-        raise ConfigError(f"LB_CONFIG: key state_dir: {key!r} is no folder")
+        raise ConfigError(f"LB_CONFIG: key state_dir: {key!r} is not a directory path")
     text = env.get("LB_STATE_DIR") or key or env.get("TMPDIR")
     return Path(text) if text else None
 
@@ -174,7 +177,7 @@
     if not text:
         return None
     if not (text.isascii() and text.isdecimal()):
-        raise ConfigError(f"LB_INHERITED_FD: {text!r} is no descriptor")
+        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not a file descriptor number")
     return int(text)
 
 
--- a/anisespool/decision_queue.py
+++ b/anisespool/decision_queue.py
@@ -1,4 +1,4 @@
-"""The decision module and its queue of events: one event at a time, each followed by its actions."""
+"""Feeds events to the decision module one at a time, and performs the actions that each one returns."""
 
 from __future__ import annotations
 
@@ -11,47 +11,51 @@
 
 from shuntlead import interface as api
 
-QUIET_S = 1.0  # between two tracebacks in the log
+TRACEBACK_INTERVAL_S = 1.0  # minimum time between logged tracebacks
 
-Perform = Callable[..., None]
+ActionHandler = Callable[..., None]
 
 
-class Module(Protocol):
-    """What decides; `now` in nanoseconds of the monotonic clock."""
+class DecisionModule(Protocol):
+    """The decision module (`shuntlead.Balancer`). `now`: monotonic time in nanoseconds."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]: ...
 
 
-class Decisions:
-    """Passes events to the module in order, and carries out its actions."""
+class DecisionQueue:
+    """Queues events for the decision module and performs the actions it returns, in order."""
 
     def __init__(
-        self, module: Module, on_handled: Callable[[api.Event], None], on_fault: Callable[[int], None]
+        self,
+        module: DecisionModule,
+        on_handled: Callable[[api.Event], None],
+        on_module_error: Callable[[int], None],
     ) -> None:
-        """`on_handled`: the event's actions are done. `on_fault`: the module failed on an event of this
-        request, and decides nothing more for it."""
+        """`on_handled`: called once an event's actions are performed. `on_module_error`: called with the
+        request whose event raised in the module; the module makes no further decisions for it."""
         self.module = module
-        self.actions: dict[type, Perform] = {}  # how each kind is carried out; others are left out
-        self._on_handled, self._on_fault = on_handled, on_fault
+        self.actions: dict[type, ActionHandler] = {}  # handler by action type; other types are ignored
+        self._on_handled, self._on_module_error = on_handled, on_module_error
         self._events: deque[api.Event] = deque()
         self._handling = False
-        self._complained_at = 0.0
+        self._traceback_logged_at = 0.0
 
     def handle(self, event: api.Event) -> None:
-        """An action may end an attempt at once, and that event waits its turn."""
+        """Process an event, or queue it while another is in progress: an action may end an attempt at once,
+        which causes a further event."""
         self._events.append(event)
         if not self._handling:
             self._drain()
 
-    def handle_first(self, event: api.Event) -> None:
-        """Ahead of those that wait."""
+    def handle_next(self, event: api.Event) -> None:
+        """Process an event ahead of those already queued."""
         self._events.appendleft(event)
         if not self._handling:
             self._drain()
 
     @contextmanager
-    def held(self) -> Iterator[None]:
-        """Events of this time wait until the next one is handled."""
+    def deferred(self) -> Iterator[None]:
+        """Within this context events are only queued; the next event handled outside it processes them."""
         before, self._handling = self._handling, True
         try:
             yield
@@ -62,28 +66,28 @@
         self._handling = True
         try:
             while self._events:
-                self._one(self._events.popleft())
+                self._process(self._events.popleft())
         finally:
             self._handling = False
 
-    def _one(self, event: api.Event) -> None:
+    def _process(self, event: api.Event) -> None:
         try:
             actions = self.module.handle(time.monotonic_ns(), event)
         except Exception:
-            # The module's fault must cost one request, not all that are open.
-            self._complain()
+            # An error in the module must fail only the request concerned, not all open ones.
+            self._log_traceback()
             if isinstance(event, api.Request | api.Outcome | api.ClientGone):
-                self._on_fault(event.request)
+                self._on_module_error(event.request)
             if isinstance(event, api.Request | api.Outcome):
                 self._events.append(api.ClientGone(event.request))
             return
         for action in actions:
             perform = self.actions.get(type(action))
-            if perform:  # else the settings forbid it, or the watch does it unasked
+            if perform:  # no handler: disabled by the settings, or done by the discovery watch anyway
                 perform(action)
         self._on_handled(event)
 
-    def _complain(self) -> None:
-        if time.monotonic() >= self._complained_at + QUIET_S:
-            self._complained_at = time.monotonic()
+    def _log_traceback(self) -> None:
+        if time.monotonic() >= self._traceback_logged_at + TRACEBACK_INTERVAL_S:
+            self._traceback_logged_at = time.monotonic()
             traceback.print_exc()
--- a/anisespool/discovery/channel.py
+++ b/anisespool/discovery/channel.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 from anisespool.config import Address
-from anisespool.socket_state import unread
+from anisespool.socket_state import unread_bytes
 
 READ_BYTES = 65536
 
@@ -53,7 +53,7 @@
             return
         descriptor = self._transport.get_extra_info("socket").fileno()
         with suppress(OSError):
-            if unread(descriptor) and (data := os.read(descriptor, READ_BYTES)):
+            if unread_bytes(descriptor) and (data := os.read(descriptor, READ_BYTES)):
                 self.data_received(data)
 
     def close(self) -> None:
--- a/anisespool/discovery/stream.py
+++ b/anisespool/discovery/stream.py
@@ -16,7 +16,7 @@
 from anisespool.discovery.object_decoder import ObjectDecoder
 from anisespool.errors import DiscoveryFault, DiscoveryRefused, DiscoveryUnreachable
 from anisespool.errors.system import SystemFailure, classify, to_fault
-from anisespool.log import fault
+from anisespool.log import log_error
 
 
 class StreamUpdate(NamedTuple):
@@ -73,7 +73,7 @@
             try:
                 await self._read_all()
             except DiscoveryFault as error:
-                fault("discovery", error)
+                log_error("discovery", error)
             except (OSError, UnicodeError) as error:  # UnicodeError: invalid host name
                 self._log_unreachable(error)
             self._deliver(self._decoder.finish())
@@ -82,10 +82,10 @@
 
     def _log_unreachable(self, error: OSError | UnicodeError) -> None:
         if isinstance(error, OSError) and classify(error) is SystemFailure.NO_RESOURCES:
-            fault("discovery", to_fault(error))
+            log_error("discovery", to_fault(error))
             self._make_room()
         else:
-            fault("discovery", DiscoveryUnreachable(f"{type(error).__name__}: {error}"))
+            log_error("discovery", DiscoveryUnreachable(f"{type(error).__name__}: {error}"))
 
     async def _read_all(self) -> None:
         parser, channel = http1.ResponseParser(lambda data: self._chunks.append(data)), None
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -13,7 +13,7 @@
 from anisespool.discovery.deadline import CallFailure
 from anisespool.discovery.stream import Stream, StreamUpdate
 from anisespool.errors import DiscoverySilent, UnreadableList
-from anisespool.log import fault, say
+from anisespool.log import log_error, log_info
 from anisespool.telemetry import TELEMETRY
 
 REPLACED_READ_S = 0.5  # how long a replaced watch is still read, for lines written before its replacement
@@ -84,7 +84,7 @@
         while True:
             change = await changes.get()
             self.address = change.address
-            say("discovery", "address changed to {}:{}".format(*self.address))
+            log_info("discovery", "address changed to {}:{}".format(*self.address))
             self._schedule.address_changed(change.requested_s)
             self._address_changed.set()
             self._changed.set()
@@ -152,7 +152,7 @@
                 if call.head_received_s is None:
                     call.close()
                     self._calls.remove(call)
-                fault("discovery", DiscoverySilent("no response to a call in time"))
+                log_error("discovery", DiscoverySilent("no response to a call in time"))
                 return CallFailure.HUNG
             await self._await_change(due_s - now_s)
         return None
@@ -162,13 +162,13 @@
         while self._current and self._current.address == self.address and not self._address_changed.is_set():
             now_s = time.monotonic()
             if self._current.ended:
-                say("discovery", f"watch at {self._current.address_text} ended")
+                log_info("discovery", f"watch at {self._current.address_text} ended")
                 self._current = None
                 await self._pause(self._schedule.watch_ended(now_s))
                 return
             if now_s >= self._schedule.renewal_at():
                 silent = f"the watch has been silent for {self._schedule.silent_for(now_s):.1f} s"
-                fault("discovery", DiscoverySilent(f"{silent}; opening a new one"))
+                log_error("discovery", DiscoverySilent(f"{silent}; opening a new one"))
                 return
             await self._await_change(self._schedule.renewal_at() - now_s)
 
@@ -194,7 +194,7 @@
         if stream is not self._current and stream not in self._calls:
             return  # closed
         for why in update.skipped:
-            fault("discovery", UnreadableList(f"line skipped: {why}"[:MAX_LOGGED_CHARS]))
+            log_error("discovery", UnreadableList(f"line skipped: {why}"[:MAX_LOGGED_CHARS]))
         if update.has_message and stream is not self._current:
             self._make_current(stream)
         if update.has_message and not self._calls and stream.address == self.address:
@@ -211,7 +211,9 @@
         self._calls.remove(stream)
         self._close_calls()
         self._current = stream
-        say("discovery", f"watch open at {stream.address_text}, requested from revision {stream.since} on")
+        log_info(
+            "discovery", f"watch open at {stream.address_text}, requested from revision {stream.since} on"
+        )
         self._changed.set()
 
     def _keep_replaced(self, stream: Stream) -> None:
@@ -230,7 +232,7 @@
             update = self._names.member_list(raw)._replace(source=stream.address_text)
         except ValueError as error:
             # One invalid line must not end the watch or hide the lines after it.
-            fault("discovery", UnreadableList(f"line skipped: {error}"[:MAX_LOGGED_CHARS]))
+            log_error("discovery", UnreadableList(f"line skipped: {error}"[:MAX_LOGGED_CHARS]))
             self._apply_valid_entries(raw, stream)
             return
         if stream.since <= update.revision < self.revision:
--- a/anisespool/endpoints/attempt.py
+++ b/anisespool/endpoints/attempt.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from anisespool import http1
-from anisespool.body_stream import Flow
+from anisespool.body_stream import BodyStream
 from anisespool.telemetry import TELEMETRY
 from shuntlead.interface import Status
 
@@ -34,25 +34,25 @@
     """One attempt of a request at one endpoint, from the decision to send it until its final status. Times
     are in monotonic nanoseconds."""
 
-    __slots__ = ("_end_ns", "_timer", "connection", "counts", "deadline_ns", "endpoint", "flow", "load",
-                 "may_start", "number", "on_upload", "on_end", "on_response_start", "request", "request_id",
-                 "response", "response_started_ns", "started_ns", "status")  # fmt: skip
+    __slots__ = ("_end_ns", "_timer", "connection", "counts", "deadline_ns", "endpoint", "body_stream",
+                 "load", "may_start", "number", "on_upload", "on_end", "on_response_start", "request",
+                 "request_id", "response", "response_started_ns", "started_ns", "status")  # fmt: skip
 
     def __init__(self, request_id: int, number: int, endpoint: int, request: http1.Request, deadline_ns: int,
                  on_end: Callable[[Attempt], None], on_response_start: Callable[[Attempt], None] = _ignore,
                  on_upload: Callable[[Attempt], None] = _ignore,
                  may_start: Callable[[Attempt], bool] = lambda a: a.status is None) -> None:  # fmt: skip
         """`on_end` is called once, with the final status. `on_response_start` is called when a streamed
-        response begins; its body is in `flow`. `on_upload` is called when the upload of a streamed request
-        body starts and when it has finished (`started_ns` tells which). `may_start` is called once the
-        connection is up and returns whether to send the request; if the client has disconnected, it ends the
-        attempt."""
+        response begins; its body is in `body_stream`. `on_upload` is called when the upload of a streamed
+        request body starts and when it has finished (`started_ns` tells which). `may_start` is called once
+        the connection is up and returns whether to send the request; if the client has disconnected, it ends
+        the attempt."""
         self.request_id, self.number, self.endpoint = request_id, number, endpoint
         self.request, self.deadline_ns, self.on_end = request, deadline_ns, on_end
         self.on_response_start, self.on_upload, self.may_start = on_response_start, on_upload, may_start
         self.started_ns = time.monotonic_ns()  # after an upload, when its last byte was sent; 0 during it
         self.response_started_ns = 0  # when a streamed response began; 0: it has not
-        self.flow: Flow | None = None  # the body of a streamed response
+        self.body_stream: BodyStream | None = None  # the body of a streamed response
         self.status: Status | None = None
         self.response: http1.Response | None = None
         self.load: tuple[float, ...] = ()
@@ -69,7 +69,7 @@
         """Limits the deadline to `end_ns`, when the process exits. A streamed response that has begun has no
         deadline: it continues for as long as it makes progress."""
         self._end_ns = end_ns
-        if self.status is None and self.started_ns and not self.flow and self.deadline_ns > end_ns:
+        if self.status is None and self.started_ns and not self.body_stream and self.deadline_ns > end_ns:
             self.deadline_ns = end_ns
             self._timer.cancel()
             self._arm()
@@ -86,14 +86,14 @@
         self.deadline_ns += self.started_ns
         if self._end_ns is not None:
             self.deadline_ns = min(self.deadline_ns, self._end_ns)
-        if not self.flow:  # no deadline if the response began before the upload had finished
+        if not self.body_stream:  # no deadline if the response began before the upload had finished
             self._arm()
         self.on_upload(self)
 
-    def start_response(self, flow: Flow) -> None:
+    def start_response(self, body_stream: BodyStream) -> None:
         """A streamed response begins. From here on only a stall ends the attempt, not its deadline."""
         self._timer.cancel()
-        self.response_started_ns, self.flow = time.monotonic_ns(), flow
+        self.response_started_ns, self.body_stream = time.monotonic_ns(), body_stream
         self.on_response_start(self)
 
     @property
@@ -121,7 +121,7 @@
         if self.status is not None:
             return
         connection, self.connection = self.connection, None
-        if connection and status is Status.TIMEOUT and self.started_ns and not self.flow:
+        if connection and status is Status.TIMEOUT and self.started_ns and not self.body_stream:
             connection.close_idle_if_silent(self.started_ns)
         unsent = connection is None or connection.has_unsent_data
         if connection:
--- a/anisespool/endpoints/connection.py
+++ b/anisespool/endpoints/connection.py
@@ -8,10 +8,10 @@
 from typing import Protocol
 
 from anisespool import http1
-from anisespool.body_stream import Flow, read_buffer
+from anisespool.body_stream import BodyStream, read_buffer
 from anisespool.endpoints.attempt import Attempt
 from anisespool.endpoints.pool import Pool
-from anisespool.socket_state import has_events, unacknowledged
+from anisespool.socket_state import has_events, unacknowledged_bytes
 from shuntlead.interface import Status
 
 BUFFER_TIMEOUT_S = 0.05  # a response of unknown length is streamed after that; until then it can be retried
@@ -36,7 +36,7 @@
         self._transport: asyncio.Transport | None = None
         self._poll = select.poll()
         self._unflushed = False  # the transport still buffers data that the kernel has not accepted
-        self._upload: Flow | None = None  # the request body while it is streamed
+        self._upload: BodyStream | None = None  # the request body while it is streamed
         self._progress_ns = 0  # last progress of a streamed body in either direction
         self._buffered_bytes = 0  # size of the transport's write buffer at the last stall check
         self.idle_since = 0.0  # monotonic seconds
@@ -58,13 +58,13 @@
     def pause_writing(self) -> None:
         self._unflushed = True
         if self._upload:
-            self._upload.hold()
+            self._upload.pause()
 
     def resume_writing(self) -> None:
         self._unflushed = False
         self._progress_ns = time.monotonic_ns()
         if self._upload:
-            self._upload.go()
+            self._upload.resume()
 
     def is_usable(self) -> bool:
         """Whether a request may be written. The endpoint may have closed an idle connection without the event
@@ -76,7 +76,7 @@
         """Whether the endpoint's kernel has acknowledged all data. If the endpoint answered before it had
         read the request, the next one would wait behind it, and might start after a drain has begun."""
         assert self._transport
-        return not unacknowledged(self._transport.get_extra_info("socket").fileno())
+        return not unacknowledged_bytes(self._transport.get_extra_info("socket").fileno())
 
     def start(self, attempt: Attempt, data: bytes) -> None:
         assert self._transport
@@ -88,39 +88,39 @@
         self._transport.write(data)
         # A write that fails at once leaves the buffer empty, but the transport is closing then.
         self._unflushed = self._unflushed or self._transport.is_closing()
-        if attempt.request.flow:
+        if attempt.request.body_stream:
             self._progress_ns = time.monotonic_ns()
-            self._upload = attempt.request.flow
+            self._upload = attempt.request.body_stream
             attempt.upload_started()
             self._upload.attach(self)
 
     # The streamed request body, as a sink of its Flow -----------------------------------------------
 
-    def flow_data(self, data: bytes) -> None:
+    def stream_data(self, data: bytes) -> None:
         """Part of the request body, sent as a chunk if the length is not known."""
         if self._upload and self._transport and not self._transport.is_closing():
             self._transport.write(data if self._upload.length is not None else http1.encode_chunk(data))
             if self._unflushed:
-                self._upload.hold()
+                self._upload.pause()
 
-    def flow_end(self) -> None:
+    def stream_end(self) -> None:
         upload, self._upload = self._upload, None
         if upload and upload.length is None and self._transport:
             self._transport.write(http1.LAST_CHUNK)
         if upload and self._attempt:
             self._attempt.upload_finished()
 
-    def flow_broken(self) -> None:
+    def stream_failed(self) -> None:
         """Nothing to do: the reader of the client connection ends the request."""
 
     # The response -----------------------------------------------------------------------------------
 
-    def _start_streaming(self) -> Flow:
+    def _start_streaming(self) -> BodyStream:
         assert self._parser and self._transport and self._attempt
         transport = self._transport
-        flow = Flow(self._parser.length, transport.pause_reading, self._resume_reading)
-        self._attempt.start_response(flow)
-        return flow
+        body_stream = BodyStream(self._parser.length, transport.pause_reading, self._resume_reading)
+        self._attempt.start_response(body_stream)
+        return body_stream
 
     def _resume_reading(self) -> None:
         self._progress_ns = time.monotonic_ns()
@@ -134,12 +134,12 @@
     def is_stalled(self, before_ns: int) -> bool:
         """Whether a streamed body has made no progress since `before_ns`. A response that is paused because
         the client does not read it is not stalled."""
-        flow = self._attempt.flow if self._attempt else None
-        if self._attempt is None or self._transport is None or not (flow or self._upload):
+        body_stream = self._attempt.body_stream if self._attempt else None
+        if self._attempt is None or self._transport is None or not (body_stream or self._upload):
             return False
         buffered, previous = self._transport.get_write_buffer_size(), self._buffered_bytes
         self._buffered_bytes = buffered
-        if flow and flow.paused or buffered != previous or self._upload and not buffered:
+        if body_stream and body_stream.paused or buffered != previous or self._upload and not buffered:
             self._progress_ns = time.monotonic_ns()
         return self._progress_ns < before_ns
 
@@ -237,7 +237,7 @@
         self._attempt = None
         upload, self._upload = self._upload, None
         if upload:
-            upload.drop()
+            upload.discard()
         if self._parser:
             parser, self._parser = self._parser, None
             parser.close()
--- a/anisespool/endpoints/endpoints.py
+++ b/anisespool/endpoints/endpoints.py
@@ -13,7 +13,7 @@
 from anisespool.endpoints.connection import Connection
 from anisespool.endpoints.pool import REUSE_DELAY_S, Pool, PooledConnection
 from anisespool.errors.system import SystemFailure, classify, is_local_shortage, to_fault
-from anisespool.log import fault, say
+from anisespool.log import log_error, log_info
 from shuntlead.interface import Status
 
 FORWARDED_HEADERS = {b"x-trace-id": b"X-Trace-Id", b"idempotency-key": b"Idempotency-Key",
@@ -73,11 +73,11 @@
                 rows.append(f"{pool.name} {done} {bad or '-'} {load or '-'}")
                 pool.counts.clear()
         self._active = {pool: None for pool in self._active if pool.connection_count or pool.connecting}
-        say("traffic", "; ".join(rows))
+        log_info("traffic", "; ".join(rows))
 
     def log_failure(self, text: str) -> None:
         if self._may_log():
-            say("broken", text)
+            log_info("broken", text)
 
     def _may_log(self) -> bool:
         now = time.monotonic()
@@ -189,7 +189,7 @@
         """This host has run out of a resource: closes one idle connection, but not more than one per
         SHORTAGE_PAUSE_S, however many attempts wait."""
         if self._may_log():
-            fault("broken", to_fault(shortage))
+            log_error("broken", to_fault(shortage))
         now = time.monotonic()
         if now >= self._shortage_handled_at + SHORTAGE_PAUSE_S:
             self._shortage_handled_at = now
--- a/anisespool/exchange.py
+++ b/anisespool/exchange.py
@@ -1,4 +1,4 @@
-"""A request between its client and the decisions: what was asked, what is owed, and the answer."""
+"""Per-request state between the client and the decision module: the request, its attempts and its answer."""
 
 from __future__ import annotations
 
@@ -8,75 +8,76 @@
 from typing import NamedTuple
 
 from anisespool import http1
-from anisespool.body_stream import Flow
+from anisespool.body_stream import BodyStream
 from anisespool.endpoints import Attempt
 from anisespool.telemetry import TELEMETRY
 from shuntlead.interface import Status
 
-ANSWER_RESERVE_NS = 10_000_000  # for the answer's way out: a client that has hung up was not answered
-BACKSTOP_NS = 4_000_000  # the last moment at which the driver answers by itself
+ANSWER_RESERVE_NS = 10_000_000  # to deliver the answer: one that arrives after the client has hung up is lost
+DEADLINE_MARGIN_NS = 4_000_000  # before the deadline: if there is no decision yet, the sidecar answers 504
 
 
 class Answer(NamedTuple):
-    """A final answer to the client."""
+    """The final response to the client."""
 
     status: int
     body: bytes = b""
     retry_after_s: float = 0.0
-    flow: Flow | None = None  # in place of the body, where that is too long
-    length: int | None = None  # of the body that a HEAD asks about
+    body_stream: BodyStream | None = None  # replaces `body` if that is too long to buffer
+    length: int | None = None  # Content-Length for the answer to a HEAD
 
 
 class Call(NamedTuple):
-    """A request as the server read it, in the module's terms."""
+    """A request from a client, with its headers translated into the fields of the decision module."""
 
     request: http1.Request
-    cls: int
-    tenant: int
-    left_ns: int
-    hint_ns: int | None
-    key: int
-    is_retry: bool
-    dedup_key: int = 0
+    cls: int  # index of the request class in the settings
+    tenant: int  # index in the settings; one past the last: unknown
+    left_ns: int  # until the client's timeout
+    hint_ns: int | None  # expected work on a standard core, if the client gave it
+    key: int  # 0: none
+    is_retry: bool  # the client has sent this request before
+    dedup_key: int = 0  # hash of the idempotency key; 0: none
 
 
 class Exchange:
-    """A request from its arrival until its last attempt has ended."""
+    """One request, from its arrival until it is answered and its last attempt has ended."""
 
-    __slots__ = ("_backstop", "_end_ns", "_overdue", "attempts", "call", "deadline_ns", "is_gone", "reply",
-                 "streaming")  # fmt: skip
+    __slots__ = ("_deadline_timer", "_end_ns", "_on_deadline", "attempts", "call", "deadline_ns", "is_gone",
+                 "reply", "streaming")  # fmt: skip
 
     def __init__(self, call: Call, deadline_ns: int, reply: Callable[[Answer], None],
-                 is_gone: Callable[[], bool], overdue: Callable[[], None]) -> None:  # fmt: skip
-        """`overdue` is called at the last moment of the client's time, unless it is answered by then."""
+                 is_gone: Callable[[], bool], on_deadline: Callable[[], None]) -> None:  # fmt: skip
+        """`is_gone`: whether the client has disconnected. `on_deadline`: called shortly before the client's
+        deadline, unless the request is answered by then."""
         self.call, self.deadline_ns, self.is_gone = call, deadline_ns, is_gone
-        self._overdue = overdue
-        self._end_ns: int | None = None  # monotonic: the process ends then, whatever the client's deadline
-        self.reply: Callable[[Answer], None] | None = reply  # None: answered, or nobody waits
+        self._on_deadline = on_deadline
+        self._end_ns: int | None = None  # monotonic; when the process ends, even if the deadline is later
+        self.reply: Callable[[Answer], None] | None = reply  # None: answered, or the client is gone
         self.attempts: list[Attempt] = []
-        self._backstop: asyncio.TimerHandle | None = None
-        self.streaming = False  # the reply is on its way, and the last attempt brings the rest of it
+        self._deadline_timer: asyncio.TimerHandle | None = None
+        self.streaming = False  # the answer's body is still arriving from the last attempt
 
     @property
     def trace(self) -> bytes:
-        """The request's id, as its client sent it."""
+        """The request id that the client sent."""
         return self.call.request.headers.get(b"x-trace-id", b"")
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the request's last byte has come."""
-        return self.call.request.flow is None or self.call.request.flow.done
+    def is_fully_received(self) -> bool:
+        """Whether the last byte of the request has been received."""
+        return self.call.request.body_stream is None or self.call.request.body_stream.done
 
     def last_attempt(self, names: Mapping[int, str]) -> str:
-        """For the log: where it was sent last, and how that ended. `names`: the servers' ids by number."""
+        """Describes the last attempt for the log. `names`: server ids by endpoint number."""
         if not self.attempts:
-            return "unsent"
+            return "no attempt yet"
         last = self.attempts[-1]
-        status = last.status.name if last.status else "no end yet"
-        return f"attempt {last.number} at {names.get(last.endpoint, 'a server that is gone')} had {status}"
+        status = last.status.name if last.status else "no status yet"
+        return f"attempt {last.number} at {names.get(last.endpoint, 'a removed server')} had {status}"
 
     def answer(self, answer: Answer) -> None:
-        """The one final answer; any further one goes nowhere."""
+        """Send the final answer. Further calls have no effect."""
         reply = self.reply
         self.close()
         if reply:
@@ -84,60 +85,67 @@
             reply(answer)
 
     def close(self) -> None:
-        """Nobody waits any more."""
+        """Discard the reply callback: the request is answered, or its client is gone."""
         self.reply, self.streaming = None, False
-        self.drop_backstop()
+        self.cancel_deadline_timer()
 
-    def set_backstop(self) -> None:
-        """From now the request has the time that its client gave it."""
+    def start_deadline_timer(self) -> None:
+        """Start the client's time limit for the request now."""
         due_ns = time.monotonic_ns() + self.call.left_ns
         if self._end_ns is not None:
             due_ns = min(due_ns, self._end_ns)
-        self._arm_backstop(due_ns)
+        self._schedule_deadline_timer(due_ns)
 
-    def _arm_backstop(self, due_ns: int) -> None:
-        at_s = (due_ns - BACKSTOP_NS) / 1e9
-        self._backstop = asyncio.get_running_loop().call_at(at_s, self._overdue)
+    def _schedule_deadline_timer(self, due_ns: int) -> None:
+        at_s = (due_ns - DEADLINE_MARGIN_NS) / 1e9
+        self._deadline_timer = asyncio.get_running_loop().call_at(at_s, self._on_deadline)
 
     def cap(self, end_ns: int) -> None:
-        """The process ends: the request and its attempts have no longer than until `end_ns`, monotonic."""
+        """The process is shutting down: limit the request and its attempts to `end_ns`, monotonic."""
         self._end_ns = end_ns
         self.deadline_ns = min(self.deadline_ns, end_ns - ANSWER_RESERVE_NS)
         for attempt in self.attempts:
             self.cap_attempt(attempt)
-        if self._backstop and not self._backstop.cancelled() and self._backstop.when() > end_ns / 1e9:
-            self.drop_backstop()
-            self._arm_backstop(end_ns)
+        if (
+            self._deadline_timer
+            and not self._deadline_timer.cancelled()
+            and self._deadline_timer.when() > end_ns / 1e9
+        ):
+            self.cancel_deadline_timer()
+            self._schedule_deadline_timer(end_ns)
 
     def cap_attempt(self, attempt: Attempt) -> None:
+        """Limit an attempt to the end of the process, if the process is shutting down."""
         if self._end_ns is not None:
             attempt.limit_deadline(self._end_ns - ANSWER_RESERVE_NS)
 
-    def drop_backstop(self) -> None:
-        if self._backstop:
-            self._backstop.cancel()
+    def cancel_deadline_timer(self) -> None:
+        if self._deadline_timer:
+            self._deadline_timer.cancel()
 
 
 class Exchanges(dict[int, Exchange]):
-    """By request."""
+    """The open exchanges, by request id."""
 
-    def owed(self) -> list[int]:
-        """The requests that have come whole and have no answer yet."""
-        return [number for number, exchange in self.items() if exchange.reply and exchange.is_whole]
+    def unanswered(self) -> list[int]:
+        """The requests that are received completely and not answered yet."""
+        return [number for number, exchange in self.items() if exchange.reply and exchange.is_fully_received]
 
     def finish(self, request_id: int, answer: Answer) -> None:
+        """Answer the request, unless it has been answered."""
         exchange = self.get(request_id)
         if exchange and exchange.reply:
             exchange.answer(answer)
             self.forget(request_id)
 
     def forget(self, request_id: int) -> None:
+        """Remove the exchange once it has been answered and all its attempts have ended."""
         exchange = self.get(request_id)
         if exchange and exchange.reply is None and all(a.status is not None for a in exchange.attempts):
             del self[request_id]
 
     def abandon(self, request_id: int) -> None:
-        """Nobody waits: whatever the module made of it, nothing more is spent on this request."""
+        """Cancel all attempts: nobody waits for the answer, whatever the decision module would do."""
         exchange = self.get(request_id)
         for attempt in exchange.attempts if exchange else ():
             attempt.abort(Status.CANCELLED)
--- a/anisespool/external_state.py
+++ b/anisespool/external_state.py
@@ -1,12 +1,12 @@
-"""What comes from other processes and from the store, in the module's terms, and what goes there: peers, the
-other process of an upgrade, the next process of this sidecar. A server that discovery has not named
-here yet must not be sent to on hearsay, so what is said of one is left out."""
+"""Translates between the decision module and everything outside this process: peers, the other process of an
+upgrade, and the state store, which the next process of this sidecar reads. Reports about a server that
+discovery has not listed here yet are dropped, as it must not receive requests on the word of a peer alone."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
 
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.peers import Peers
 from anisespool.servers import Servers, abbreviate
 from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow, VerdictRow
@@ -14,20 +14,24 @@
 from shuntlead import interface as api
 
 
-class Outside:
+class ExternalState:
+    """Maps server ids to endpoint numbers and back, for events from outside and actions of the module."""
+
     def __init__(
         self,
         servers: Servers,
         handle: Callable[[api.Event], None],
         refresh: Callable[[Iterable[str]], None] = lambda servers: None,
     ) -> None:
-        """`handle` passes an event to the module. `refresh`: whether these servers are in use has changed."""
+        """`handle` passes an event to the decision module. `refresh`: called with the servers that have
+        become usable or unusable."""
         self.servers, self._handle, self._refresh = servers, handle, refresh
-        self.peers: Peers | None = None  # where datagrams go
+        self.peers: Peers | None = None  # None: no messages between sidecars
         self.on_reports: Callable[[int, tuple[api.TenantReport, ...]], None] = lambda peer, reports: None
         self._shared_reports = api.ShareReports((), (), (), ())
         self._remembered = PersistedState((), ())
-        self.on_remember: Callable[[], None] = lambda: None  # unasked too: a verdict is not to be lost
+        # Called whenever the module sends its state, not only for `snapshot`, so that no verdict is lost.
+        self.on_remember: Callable[[], None] = lambda: None
         self.on_pin: Callable[[PinRow], None] = lambda row: None
         self.on_verdicts: Callable[[int, Sequence[api.Ejection]], None] = lambda peer, rows: None
         self.actions: dict[type, Callable[..., None]] = {
@@ -35,51 +39,55 @@
             api.SavePin: self._pin, api.SendReports: self._tell_reports,
             api.ShareReports: self._share_reports}  # fmt: skip
 
-    # Other sidecars ------------------------------------------------------------------------------
+    # Other sidecars -------------------------------------------------------------------------------
 
     def _tell(self, action: api.SendToPeer) -> None:
         if self.peers:
-            told = (s._replace(endpoint=self.servers.shared_ids[s.endpoint]) for s in action.observations)
-            self.peers.tell(action.peer, action.pressure, tuple(told))
+            translated = (
+                s._replace(endpoint=self.servers.shared_ids[s.endpoint]) for s in action.observations
+            )
+            self.peers.send_sightings(action.peer, action.pressure, tuple(translated))
 
-    def heard(self, message: api.PeerMessage) -> None:
+    def on_peer_message(self, message: api.PeerMessage) -> None:
+        """A peer's load and its observations of servers, by shared ids."""
         known = self.servers.number_by_shared_id
-        seen = tuple(
+        translated = tuple(
             s._replace(endpoint=known[s.endpoint]) for s in message.observations if s.endpoint in known
         )
-        self._handle(message._replace(observations=seen))
+        self._handle(message._replace(observations=translated))
 
     def mark_list_stale(self) -> None:
-        """Discovery has not been heard for a while."""
+        """Discovery has sent nothing for a while: the list may be out of date."""
         self.servers.mark_list_stale()
 
-    def peer_list(
+    def on_peer_list(
         self, sender: int, revision: int, low: int, high: int, is_up: Callable[[int], bool]
     ) -> None:
-        """A peer's list, for the servers whose shared ids lie from low to high."""
+        """A part of a peer's list: which servers with shared ids from `low` to `high` are up."""
         servers = self.servers
-        asked = {
+        shared_by_server = {
             servers.ids[n]: shared
             for shared, n in servers.number_by_shared_id.items()
             if low <= shared <= high
         }
-        standing = {server: is_up(shared) for server, shared in asked.items()}
-        changed = servers.peer_reported(sender, revision, standing)
+        is_up_by_server = {server: is_up(shared) for server, shared in shared_by_server.items()}
+        changed = servers.peer_reported(sender, revision, is_up_by_server)
         if not changed:
             return
         self._refresh(changed)
-        left = f"{len(servers.ready)} endpoints left, as peers' later lists say"
-        say("hearsay", f"{left}: list {revision} of sidecar {sender} against {servers.revision} here changes "
-            f"{abbreviate(changed)}")  # fmt: skip
+        left = f"{len(servers.ready)} endpoints left, by peers' later lists"
+        log_info("hearsay", f"{left}: list {revision} of sidecar {sender} against {servers.revision} here "
+            f"changes {abbreviate(changed)}")  # fmt: skip
 
-    def peer_verdicts(self, sender: int, rows: Iterable[api.Ejection]) -> None:
-        """What a peer holds ejected, by shared ids."""
+    def on_peer_verdicts(self, sender: int, rows: Iterable[api.Ejection]) -> None:
+        """The servers that a peer has ejected, by shared ids."""
         known = self.servers.number_by_shared_id
-        told = tuple(v._replace(endpoint=known[v.endpoint]) for v in rows if v.endpoint in known)
-        self._handle(api.PeerEjections(sender, told))
+        translated = tuple(v._replace(endpoint=known[v.endpoint]) for v in rows if v.endpoint in known)
+        self._handle(api.PeerEjections(sender, translated))
 
-    def asked_by(self, peer: int, observations: bool) -> None:
-        """A peer that starts wants to know what is ejected here, or also what was seen of servers."""
+    def on_peer_query(self, peer: int, observations: bool) -> None:
+        """A starting peer asks for the servers ejected here, and with `observations` also for their observed
+        load."""
         self._handle(api.PeerStarted(peer, observations))
 
     def _tell_verdicts(self, action: api.SendEjections) -> None:
@@ -87,16 +95,16 @@
         rows = [v._replace(endpoint=shared[v.endpoint]) for v in action.ejections if v.endpoint in shared]
         self.on_verdicts(action.peer, rows)
 
-    def tenant_reports(self, reports: tuple[api.TenantReport, ...]) -> None:
-        """What tenants ask of other sidecars."""
+    def on_tenant_reports(self, reports: tuple[api.TenantReport, ...]) -> None:
+        """The request rates of tenants at other sidecars."""
         self._handle(api.TenantReports(reports))
 
-    def beside(self, left_ns: int, rates: tuple[float, ...]) -> None:
-        """What tenants ask of the other process of an upgrade; void after so much longer."""
+    def set_other_process_rates(self, left_ns: int, rates: tuple[float, ...]) -> None:
+        """The request rates of tenants at the other process of an upgrade, valid for `left_ns`."""
         self._handle(api.OtherProcessRates(left_ns, rates))
 
     def share_reports(self) -> api.ShareReports:
-        """What is known of tenants across the fleet, and the servers ejected."""
+        """Ask the module for the request rates of tenants across the fleet, and the ejected servers."""
         self._handle(api.TakeReports())
         return self._shared_reports
 
@@ -106,15 +114,15 @@
     def _share_reports(self, action: api.ShareReports) -> None:
         self._shared_reports = action
 
-    # What outlives the process --------------------------------------------------------------------
+    # State kept for the next process --------------------------------------------------------------
 
     def snapshot(self) -> PersistedState:
-        """What the module knows now that its next process should."""
+        """Ask the module for the state that the next process should start with."""
         self._handle(api.TakeSnapshot())
         return self._remembered
 
     def recall(self, remembered: PersistedState, pins: Sequence[PinRow]) -> None:
-        """What an earlier process knew, of servers that are listed now."""
+        """Restore the state of an earlier process, for the servers that are listed now."""
         now, known = now_ms(), self.servers.numbers
         self._handle(
             api.Restore(
--- a/anisespool/fleet/shared_state.py
+++ b/anisespool/fleet/shared_state.py
@@ -9,16 +9,16 @@
 from collections.abc import Sequence
 
 from anisespool.clock import CLOCK
-from anisespool.external_state import Outside
+from anisespool.external_state import ExternalState
 from anisespool.fleet.clock_offsets import HALF_RANGE_MS, ClockOffsets, behind_ms
-from anisespool.peers import MAX_DATAGRAM, Peers
+from anisespool.peers import MAX_DATAGRAM_BYTES, Peers
 from shuntlead.interface import Ejection, Status, TenantReport
 from shuntlead.peer_codec import decode_reports, encode_reports
 
 EJECTIONS, RATES = b"\x04", b"\x05"  # the first byte of a datagram: its type
 _EJECTION = struct.Struct("<IBB")  # shared id of the server, LEFT_UNIT_NS left, reason (a Status)
 LEFT_UNIT_NS = 200_000_000
-MAX_EJECTIONS = (MAX_DATAGRAM - 1) // _EJECTION.size
+MAX_EJECTIONS = (MAX_DATAGRAM_BYTES - 1) // _EJECTION.size
 
 
 def clock_ms() -> int:
@@ -36,11 +36,11 @@
     """Passes what peers send about tenants and servers to the balancing module (shuntlead), and sends peers
     what it decides to share."""
 
-    def __init__(self, peers: Peers, outside: Outside) -> None:
-        self._peers, self._outside, self._offsets = peers, outside, ClockOffsets()
-        peers.handle(EJECTIONS, self._on_verdicts)
-        peers.handle(RATES, self._on_rates)
-        outside.on_verdicts, outside.on_reports = self._send_verdicts, self._send_rates
+    def __init__(self, peers: Peers, external: ExternalState) -> None:
+        self._peers, self._external, self._offsets = peers, external, ClockOffsets()
+        peers.register_handler(EJECTIONS, self._on_verdicts)
+        peers.register_handler(RATES, self._on_rates)
+        external.on_verdicts, external.on_reports = self._send_verdicts, self._send_rates
 
     def _send_verdicts(self, peer: int, rows: Sequence[Ejection]) -> None:
         for data in encode_verdicts(rows):
@@ -55,7 +55,7 @@
         rows = [Ejection(n, left * LEFT_UNIT_NS, Status(status))
                 for n, left, status in _EJECTION.iter_unpack(data)
                 if status in Status._value2member_map_]  # fmt: skip
-        self._outside.peer_verdicts(sender, rows)
+        self._external.on_peer_verdicts(sender, rows)
         return True
 
     def _on_rates(self, sender: int, data: bytes) -> bool:
@@ -65,5 +65,5 @@
             now_ms -= self._offsets.offset_ms(sender, behind_ms(shifted), time.monotonic())
         reports = decode_reports(data, now_ms)
         if reports is not None:
-            self._outside.tenant_reports(reports)
+            self._external.on_tenant_reports(reports)
         return reports is not None
--- a/anisespool/fleet/upgrade_rates.py
+++ b/anisespool/fleet/upgrade_rates.py
@@ -9,9 +9,9 @@
 import os
 
 from anisespool.errors import StoreError
-from anisespool.external_state import Outside
+from anisespool.external_state import ExternalState
 from anisespool.fleet.shared_state import clock_ms
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.state.store import Record, Store
 from shuntlead.interface import TenantReport
 
@@ -23,8 +23,8 @@
 class UpgradeRates:
     """Writes this process's rates to the store and passes those of the other process to the module."""
 
-    def __init__(self, store: Store, outside: Outside) -> None:
-        self._store, self._outside = store, outside
+    def __init__(self, store: Store, external: ExternalState) -> None:
+        self._store, self._external = store, external
         self.has_other_process = False  # whether another process of this sidecar is running
         self._id = str(os.getpid())
 
@@ -41,12 +41,12 @@
             except (StoreError, ValueError, TypeError) as error:
                 if last_logged != str(error):
                     last_logged = str(error)
-                    say("upgrade", f"cannot exchange rates with the other process: {error}"[:300])
+                    log_info("upgrade", f"cannot exchange rates with the other process: {error}"[:300])
 
     async def _exchange(self) -> None:
         """Store this process's rates and read those of the other process. Raises StoreError, or ValueError or
         TypeError if a record is malformed."""
-        shared, now = self._outside.share_reports(), clock_ms()
+        shared, now = self._external.share_reports(), clock_ms()
         rows = [[r.sidecar, now - r.age_ns // 1_000_000, *r.rates] for r in shared.reports[1:]]
         body = json.dumps([shared.process_rates, rows])
         await self._store.put([Record(KIND, self._id, now, now + RETENTION_MS, body)])
@@ -54,8 +54,8 @@
             if record.id != self._id:
                 other_rates, reports = json.loads(record.body)
                 left_ns = (record.until_ms - now) * 1_000_000
-                self._outside.beside(left_ns, tuple(float(rate) for rate in other_rates))
-                self._outside.tenant_reports(tuple(
+                self._external.set_other_process_rates(left_ns, tuple(float(rate) for rate in other_rates))
+                self._external.on_tenant_reports(tuple(
                     TenantReport(int(n), max(0, now - at_ms) * 1_000_000, tuple(map(float, rates)))
                     for n, at_ms, *rates in reports
                 ))  # fmt: skip
--- a/anisespool/front/client_reader.py
+++ b/anisespool/front/client_reader.py
@@ -13,7 +13,7 @@
 
 from anisespool.front.arrival_times import ArrivalTimes
 from anisespool.front.stall_detector import StallDetector
-from anisespool.socket_state import has_events, since_data_ms, unread
+from anisespool.socket_state import has_events, since_data_ms, unread_bytes
 
 DISCONNECT_POLL_INTERVAL_S = 0.04  # no attempt may start more than 0.1 s after its client has disconnected
 
@@ -86,8 +86,8 @@
     def record_unread(self) -> None:
         """Record how many bytes have arrived and wait to be read."""
         if self._transport and not self._transport.is_closing():
-            unread_bytes = unread(self._transport.get_extra_info("socket").fileno())
-            self._arrival_times.record_unread(unread_bytes, time.monotonic_ns())
+            waiting_bytes = unread_bytes(self._transport.get_extra_info("socket").fileno())
+            self._arrival_times.record_unread(waiting_bytes, time.monotonic_ns())
 
     def _arrival_ns(self, now_ns: int, nbytes: int) -> int:
         """When the bytes that are read now arrived.
--- a/anisespool/front/http_connection.py
+++ b/anisespool/front/http_connection.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 
 from anisespool import http1
-from anisespool.body_stream import Flow, read_buffer
+from anisespool.body_stream import BodyStream, read_buffer
 from anisespool.exchange import Answer
 from anisespool.front.client_reader import ClientReader
 from anisespool.front.request_decoding import InvalidRequest, ReceivedRequest, decode_request, deduct_wait
@@ -94,7 +94,7 @@
         self._queue.clear()
         request_id, self._request_id = self._request_id, 0
         if self._busy and request_id:
-            self._server.sidecar.client_gone(request_id)
+            self._server.sidecar.on_client_gone(request_id)
 
     def pause_writing(self) -> None:
         self._writer.pause()
@@ -108,8 +108,8 @@
     @property
     def _uploading(self) -> bool:
         """The body of the current request is still being received."""
-        flow = self._request.flow if self._busy and self._request else None
-        return flow is not None and not flow.done
+        body_stream = self._request.body_stream if self._busy and self._request else None
+        return body_stream is not None and not body_stream.done
 
     def _pause_upload(self) -> None:
         self._timeouts.pause_upload()
@@ -124,7 +124,7 @@
         """The rest of the body is invalid or late. The endpoint has only received an incomplete request."""
         request_id, self._request_id = self._request_id, 0
         if request_id:
-            self._server.sidecar.client_gone(request_id)
+            self._server.sidecar.on_client_gone(request_id)
         self._busy = False
         self._reject(status)
 
@@ -141,7 +141,7 @@
                 return
             received = self._queue.popleft()
             request = received.request
-            if request.flow and request.flow.broken:
+            if request.body_stream and request.body_stream.broken:
                 continue  # the parser's error is reported once the queue is empty
             if not self._timeouts.is_upload_paused and len(self._queue) <= MAX_PIPELINED_REQUESTS:
                 self._resume_reading()
@@ -168,10 +168,10 @@
         except InvalidRequest as error:
             self._answer(Answer(error.status, f"{error}\n".encode()))
             return
-        request_id = self._server.sidecar.take(call, self._answer_and_proceed, self.is_gone)
+        request_id = self._server.sidecar.submit(call, self._answer_and_proceed, self.is_gone)
         if self._busy and self._request is request:
             self._request_id = request_id
-            if request.flow:
+            if request.body_stream:
                 self._send_continue()
 
     def _answer_and_proceed(self, answer: Answer) -> None:
@@ -183,12 +183,12 @@
     def _answer(self, answer: Answer) -> None:
         if self._closing or not self._transport or not self._request:
             self._busy = False
-            if answer.flow:
-                answer.flow.drop()
+            if answer.body_stream:
+                answer.body_stream.discard()
             return
         close = not self._request.keep_alive or self._closes_after_answer()
-        if answer.flow:
-            self._stream_answer(self._request, answer.flow, close)
+        if answer.body_stream:
+            self._stream_answer(self._request, answer.body_stream, close)
             return
         is_head = self._request.method == b"HEAD"
         data = http1.encode_response(
@@ -202,11 +202,11 @@
         should_close = self._server.stopping or self._refuses_requests
         return should_close and not (self._queue or self._parser.partial or self.has_unread())
 
-    def _stream_answer(self, request: http1.Request, flow: Flow, close: bool) -> None:
+    def _stream_answer(self, request: http1.Request, body_stream: BodyStream, close: bool) -> None:
         chunked = request.version == "1.1"
-        keep_alive = not close and (chunked or flow.length is not None)
+        keep_alive = not close and (chunked or body_stream.length is not None)
         self._request = request._replace(keep_alive=keep_alive)
-        self._writer.start(flow, keep_alive, chunked, self._server.response_buffer_bytes(self))
+        self._writer.start(body_stream, keep_alive, chunked, self._server.response_buffer_bytes(self))
 
     def _on_end(self, final_bytes: bytes) -> None:
         """A streamed response is complete once these final bytes are written."""
@@ -242,8 +242,8 @@
         """Write the response and shut down only the sending side, for the client to close the other. Closing
         with input unread would reset the connection, and the client might never read the response."""
         self._closing, self._timeouts.waiting_since = True, time.monotonic()
-        if self._request and self._request.flow:
-            self._request.flow.drop()
+        if self._request and self._request.body_stream:
+            self._request.body_stream.discard()
         if self._transport:
             self._transport.write(data)
             self._resume_reading()
--- a/anisespool/front/listener.py
+++ b/anisespool/front/listener.py
@@ -18,8 +18,8 @@
     is_local_shortage,
     to_fault,
 )
-from anisespool.log import fault
-from anisespool.waiting import first_of
+from anisespool.log import log_error
+from anisespool.waiting import wait_for_any
 
 ACCEPT_LOG_INTERVAL_S = 0.5  # between two log lines about failed accepts
 LISTEN_TIMEOUT_S, LISTEN_RETRY_INTERVAL_S = 10.0, 0.05  # for an address that is still in use
@@ -70,8 +70,8 @@
                 raise ConfigError(f"{name}: {error}") from None
             if not logged:
                 logged = True
-                fault("anisespool", AddressTaken(f"{name}: {error}"))
-        if await first_of((stop,), LISTEN_RETRY_INTERVAL_S):
+                log_error("anisespool", AddressTaken(f"{name}: {error}"))
+        if await wait_for_any((stop,), LISTEN_RETRY_INTERVAL_S):
             return None
 
 
@@ -128,6 +128,6 @@
         self._retry_timer = loop.call_later(self._retry_delay_s, self.start)
         if time.monotonic() >= self._logged_at + ACCEPT_LOG_INTERVAL_S:
             self._logged_at = time.monotonic()
-            fault(self._topic, to_fault(error))
+            log_error(self._topic, to_fault(error))
         if classify(error) is SystemFailure.NO_RESOURCES:
             self._make_room()
--- a/anisespool/front/request_decoding.py
+++ b/anisespool/front/request_decoding.py
@@ -43,7 +43,7 @@
     requests after it.
     """
     waited_ns = now_ns - received.arrived_ns
-    if waited_ns <= NEGLIGIBLE_WAIT_NS or call.request.flow:
+    if waited_ns <= NEGLIGIBLE_WAIT_NS or call.request.body_stream:
         return call
     if received.was_stalled and received.read_ns - received.arrived_ns > MAX_UNREAD_SHARE * call.left_ns:
         TELEMETRY.count("refused as read too late")
--- a/anisespool/front/response_writer.py
+++ b/anisespool/front/response_writer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from anisespool import http1
-from anisespool.body_stream import Flow
+from anisespool.body_stream import BodyStream
 from anisespool.sockets import set_option
 
 WRITE_HIGH_WATER_BYTES = 64 * 1024  # buffered for one client before its source is paused
@@ -16,7 +16,7 @@
 
 
 class ResponseWriter:
-    """The sink of a `Flow`: a response body that is passed on as it arrives from the endpoint."""
+    """The sink of a `BodyStream`: a response body that is passed on as it arrives from the endpoint."""
 
     def __init__(self, on_end: Callable[[bytes], None], on_broken: Callable[[], None],
                  on_release: Callable[[], None]) -> None:  # fmt: skip
@@ -25,7 +25,7 @@
         self._on_end, self._on_broken, self._on_release = on_end, on_broken, on_release
         self.transport: asyncio.Transport | None = None
         self.client_stalled = False  # the write buffer is full, as the client reads too slowly
-        self._flow: Flow | None = None  # the rest of the current response
+        self._flow: BodyStream | None = None  # the rest of the current response
         self._chunked = False
 
     @property
@@ -42,47 +42,47 @@
         the responses would exhaust memory."""
         self.client_stalled = True
         if self._flow:
-            self._flow.hold()
+            self._flow.pause()
 
     def resume(self) -> None:
         self.client_stalled = False
         if self._flow:
-            self._flow.go()
+            self._flow.resume()
 
-    def start(self, flow: Flow, keep_alive: bool, chunked: bool, high_water_bytes: int) -> None:
-        """Write the response head, and pass the body on from `flow`. `high_water_bytes`: how much is buffered
-        for this client before the source is paused."""
+    def start(self, body_stream: BodyStream, keep_alive: bool, chunked: bool, high_water_bytes: int) -> None:
+        """Write the response head, and pass the body on from `body_stream`. `high_water_bytes`: how much is
+        buffered for this client before the source is paused."""
         assert self.transport
-        self.transport.write(http1.encode_head(200, flow.length, 0.0, not keep_alive, chunked))
+        self.transport.write(http1.encode_head(200, body_stream.length, 0.0, not keep_alive, chunked))
         self.transport.set_write_buffer_limits(high=high_water_bytes)
         set_option(self.transport, socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        self._flow, self._chunked = flow, chunked and flow.length is None
-        flow.attach(self)
+        self._flow, self._chunked = body_stream, chunked and body_stream.length is None
+        body_stream.attach(self)
 
-    def flow_data(self, data: bytes) -> None:
+    def stream_data(self, data: bytes) -> None:
         """Nothing is written to a closing transport: asyncio logs every such write, and a single read from
         the endpoint may yield thousands of chunks."""
         if self.transport and self._flow and not self.transport.is_closing():
             self.transport.write(http1.encode_chunk(data) if self._chunked else data)
             if self.client_stalled:
-                self._flow.hold()
+                self._flow.pause()
 
-    def flow_end(self) -> None:
+    def stream_end(self) -> None:
         assert self.transport
         self.release()
         self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self._on_end(http1.LAST_CHUNK if self._chunked else b"")
 
-    def flow_broken(self) -> None:
+    def stream_failed(self) -> None:
         self.release()
         self._on_broken()
 
     def release(self) -> None:
         """Stop streaming, and discard what is left of the source."""
-        flow, self._flow = self._flow, None
+        body_stream, self._flow = self._flow, None
         self._on_release()
-        if flow:
-            flow.drop()
+        if body_stream:
+            body_stream.discard()
 
     def reset(self) -> None:
         """Reset the connection (RST). The client would take an orderly close for the end of a body that has
--- a/anisespool/front/server.py
+++ b/anisespool/front/server.py
@@ -19,7 +19,7 @@
 from anisespool.front.response_writer import WRITE_HIGH_WATER_BYTES
 from anisespool.front.shutdown import Shutdown, Stage
 from anisespool.front.stall_detector import StallDetector
-from anisespool.log import fault
+from anisespool.log import log_error
 from anisespool.sidecar import Sidecar
 from shuntlead import Settings
 
@@ -196,13 +196,13 @@
 
     def _end_overdue_stages(self, shutdown: Shutdown) -> None:
         now_ns = time.monotonic_ns()
-        if now_ns >= shutdown.close_by_ns and self.sidecar.answer_all():
+        if now_ns >= shutdown.close_by_ns and self.sidecar.answer_pending():
             return  # after a stall of the process, this runs before the timers that answer requests
         for connection in list(self.connections):
             stage = connection.stage
             if now_ns >= shutdown.stage_deadline_ns(stage):
                 if stage in (Stage.BUSY, Stage.ANSWERING_AT_LENGTH):
-                    fault("server", NoRoomForClients(f"closed a connection at shutdown in stage {stage}"))
+                    log_error("server", NoRoomForClients(f"closed a connection at shutdown in stage {stage}"))
                 connection.end_stage(stage)
 
     async def _drain_accept_queue(self, shutdown: Shutdown) -> None:
--- a/anisespool/http1/encode.py
+++ b/anisespool/http1/encode.py
@@ -14,8 +14,8 @@
     is streamed."""
     lines = [request.method + b" " + request.target + b" HTTP/1.1", b"Host: " + host]
     lines += [name + b": " + value for name, value in headers.items()]
-    if request.flow:
-        lines.append(_framing_header(request.flow.length))
+    if request.body_stream:
+        lines.append(_framing_header(request.body_stream.length))
     elif request.body or request.method not in (b"GET", b"HEAD"):
         lines.append(_framing_header(len(request.body)))
     return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
--- a/anisespool/http1/messages.py
+++ b/anisespool/http1/messages.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from anisespool.body_stream import Flow
+from anisespool.body_stream import BodyStream
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longer bodies are streamed
 MAX_STREAMED_BODY_BYTES = 48 * 1024 * 1024  # slightly above the largest body that is expected
@@ -12,14 +12,14 @@
 
 
 class Request(NamedTuple):
-    """A request to be passed on; `flow` streams the body if that is too long to buffer."""
+    """A request to be passed on; `body_stream` streams the body if that is too long to buffer."""
 
     method: bytes
     target: bytes  # path and query, as received
     headers: dict[bytes, bytes]  # names in lower case
     body: bytes
     keep_alive: bool
-    flow: Flow | None = None  # replaces the body if that is too long to buffer
+    body_stream: BodyStream | None = None  # replaces the body if that is too long to buffer
     version: str = "1.1"
 
 
--- a/anisespool/http1/request_parser.py
+++ b/anisespool/http1/request_parser.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from anisespool.body_stream import Flow
+from anisespool.body_stream import BodyStream
 from anisespool.http1.messages import (
     MAX_BUFFERED_BODY_BYTES,
     MAX_HEAD_BYTES,
@@ -33,7 +33,7 @@
         self.body_bytes = 0  # received of the current request's body
         self._pause, self._resume = pause, resume
         self._completed: list[Request] = []
-        self._flow: Flow | None = None
+        self._flow: BodyStream | None = None
         self._parser = httptools.HttpRequestParser(self)
         self.on_message_begin()
 
@@ -106,13 +106,13 @@
                 self._start_streaming(None)
 
     def _start_streaming(self, length: int | None) -> None:
-        self._flow = Flow(length, self._pause, self._resume)
+        self._flow = BodyStream(length, self._pause, self._resume)
         for data in self._message.body:
             self._flow.feed(data)
         self._message.body.clear()
         self._completed.append(self._request(b"", self._flow))
 
-    def _request(self, body: bytes, flow: Flow | None = None) -> Request:
+    def _request(self, body: bytes, body_stream: BodyStream | None = None) -> Request:
         parser = self._parser
         method, keep_alive, version = (
             parser.get_method(),
@@ -120,16 +120,16 @@
             parser.get_http_version(),
         )
         return Request(
-            method, _origin_form(self._target), self._message.headers, body, keep_alive, flow, version
+            method, _origin_form(self._target), self._message.headers, body, keep_alive, body_stream, version
         )
 
     def on_message_complete(self) -> None:
         self._started = self.wants_continue = False
-        flow, self._flow = self._flow, None
+        body_stream, self._flow = self._flow, None
         if self.error:
-            self._flow = flow  # `feed` calls its fail()
-        elif flow:
-            flow.end()
+            self._flow = body_stream  # `feed` calls its fail()
+        elif body_stream:
+            body_stream.end()
         else:
             self._completed.append(self._request(b"".join(self._message.body)))
 
--- a/anisespool/http1/response_parser.py
+++ b/anisespool/http1/response_parser.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from anisespool.body_stream import Flow
+from anisespool.body_stream import BodyStream
 from anisespool.http1.messages import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, PartialMessage, Response
 
 
@@ -18,7 +18,7 @@
     def __init__(
         self,
         on_body: Callable[[bytes], None] | None = None,
-        on_flow: Callable[[], Flow] | None = None,
+        on_flow: Callable[[], BodyStream] | None = None,
         is_head_response: bool = False,
     ) -> None:
         """`on_flow`: provides the flow for a body that is to be streamed. `is_head_response`: the response to
@@ -26,7 +26,7 @@
         self.response: Response | None = None
         self.status = 0  # 0 until the headers are complete
         self.broken = False
-        self.flow: Flow | None = None
+        self.body_stream: BodyStream | None = None
         self._on_body, self._on_flow, self._is_head_response = on_body, on_flow, is_head_response
         self._parser = httptools.HttpResponseParser(self)
         self._message = PartialMessage()
@@ -37,8 +37,8 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.broken = self.broken or self.response is None
-        if self.broken and self.flow:
-            self.flow.fail()
+        if self.broken and self.body_stream:
+            self.body_stream.fail()
         return None if self.broken else self.response
 
     def end(self) -> Response | None:
@@ -46,15 +46,15 @@
         framed = b"content-length" in self._message.headers or b"transfer-encoding" in self._message.headers
         if self.response is None and self.status and not framed and not self.broken:
             self._complete(False)
-        elif self.response is None and self.flow:
-            self.flow.fail()
+        elif self.response is None and self.body_stream:
+            self.body_stream.fail()
         return self.response
 
     def close(self) -> None:
         """No more bytes will be fed."""
         del self._parser
-        if self.flow:
-            self.flow.fail()
+        if self.body_stream:
+            self.body_stream.fail()
 
     @property
     def length(self) -> int | None:
@@ -63,10 +63,10 @@
 
     def start_streaming(self) -> None:
         """Stop buffering the body, and pass on what has been received, whatever its length."""
-        if self._on_flow and self.flow is None and self.response is None:
-            self.flow = self._on_flow()
+        if self._on_flow and self.body_stream is None and self.response is None:
+            self.body_stream = self._on_flow()
             for data in self._message.body:
-                self.flow.feed(data)
+                self.body_stream.feed(data)
             self._message.body.clear()
 
     def on_message_begin(self) -> None:
@@ -88,14 +88,14 @@
             self._on_body(data)
         elif self.response is None and not self.broken:
             self._message.body_bytes += len(data)
-            if self.flow:
-                self.flow.feed(data)
+            if self.body_stream:
+                self.body_stream.feed(data)
                 return
             self._message.body.append(data)
             if max(self._message.body_bytes, self._message.length() or 0) > MAX_BUFFERED_BODY_BYTES:
                 if self.status == HTTPStatus.OK:
                     self.start_streaming()
-                self.broken = self.flow is None
+                self.broken = self.body_stream is None
 
     def on_message_complete(self) -> None:
         if self.status < HTTPStatus.OK:  # interim responses such as 100 Continue are not final
@@ -105,5 +105,5 @@
 
     def _complete(self, keep_alive: bool) -> None:
         self.response = Response(self.status, self._message.headers, b"".join(self._message.body), keep_alive)
-        if self.flow:
-            self.flow.end()
+        if self.body_stream:
+            self.body_stream.end()
--- a/anisespool/limits.py
+++ b/anisespool/limits.py
@@ -1,4 +1,4 @@
-"""How the limits are divided, and what is held of them."""
+"""Divides the resource limits between clients and servers, and logs the usage."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 import resource
 from pathlib import Path
 
-from anisespool.admin import MOST_CALLERS
+from anisespool.admin import MAX_CALLERS
 from anisespool.config import Config
 from anisespool.endpoints import Endpoints
 from anisespool.front.server import Server
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.sidecar import Sidecar
 from anisespool.telemetry import TELEMETRY
 
-SPARE_SOCKETS = 24  # descriptors for all but clients, endpoints and operators
-ENDPOINTS_PART = 3  # of the descriptors: what clients' requests hold at most, and each wants a server
-RESOURCES_S = 5.0  # between two lines of what is held: leaks show in the log long before they bite
+SPARE_SOCKETS = 24  # descriptors reserved for everything but clients, endpoints and operators
+ENDPOINTS_DIVISOR = 3  # a third of the descriptors: each request of a client needs a server connection
+RESOURCES_INTERVAL_S = 5.0  # between log lines: a leak shows long before a limit is reached
 
 
-def shares(config: Config, two: bool) -> tuple[int, int]:
-    """Connections to clients and to servers that fit the limit on descriptors, in each process."""
-    processes = 2 if two else 1
-    servers = config.sockets // ENDPOINTS_PART // processes
-    spare = SPARE_SOCKETS + (MOST_CALLERS if config.admin else 0)
+def connection_limits(config: Config, has_other: bool) -> tuple[int, int]:
+    """Maximum connections to clients and to servers, for each process, within the descriptor limit.
+    `has_other`: two processes share the limit during an upgrade."""
+    processes = 2 if has_other else 1
+    servers = config.sockets // ENDPOINTS_DIVISOR // processes
+    spare = SPARE_SOCKETS + (MAX_CALLERS if config.admin else 0)
     return max(8, config.sockets // processes - servers - spare), max(8, servers)
 
 
 async def log_resources(server: Server, sidecar: Sidecar, endpoints: Endpoints) -> None:
+    """Log the resource usage, the traffic and the counters at regular intervals, until cancelled."""
     while True:
-        await asyncio.sleep(RESOURCES_S)
+        await asyncio.sleep(RESOURCES_INTERVAL_S)
         try:
             descriptors = str(len(os.listdir("/proc/self/fd")))
             pages = int(Path("/proc/self/statm").read_text().split()[1])
-        except OSError:  # none is left for the look itself
+        except OSError:  # no descriptor left to read /proc
             descriptors, pages = "all", 0
-        say(
+        log_info(
             "resources",
             f"{descriptors} descriptors, {server.connection_summary()}; "
             f"{len(endpoints.connections)} connections to endpoints; {sidecar.open} requests, "
--- a/anisespool/list_updater.py
+++ b/anisespool/list_updater.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Iterable
 
 from anisespool.config import Member, MemberList
-from anisespool.decision_queue import Decisions
+from anisespool.decision_queue import DecisionQueue
 from anisespool.endpoints import Endpoints
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.servers import Servers
 from shuntlead import interface as api
 from shuntlead.interface import EndpointState, ListForm
@@ -16,8 +16,8 @@
 
 
 class ListUpdater:
-    def __init__(self, servers: Servers, decisions: Decisions, endpoints: Endpoints) -> None:
-        self.servers, self.decisions, self._endpoints = servers, decisions, endpoints
+    def __init__(self, servers: Servers, decision_queue: DecisionQueue, endpoints: Endpoints) -> None:
+        self.servers, self.decision_queue, self._endpoints = servers, decision_queue, endpoints
         self.read_pending: Callable[[], object] = lambda: None  # reads pending data from discovery
         self._read_ns = 0
 
@@ -34,7 +34,7 @@
         form = form or (ListForm.FULL if update.complete else ListForm.DELTA)
         change = self.servers.apply(update, form)
         if change.rows or change.gone:
-            say("list", change.summary)
+            log_info("list", change.summary)
         self._publish(change.rows, change.gone, form)
 
     def apply_withdrawals(self, update: MemberList) -> None:
@@ -59,7 +59,7 @@
         """Updates the connections first, so that no request is sent to a draining endpoint any more. This
         ends attempts, which the balancer places again. It must know the new list by then, so it receives the
         list before these events."""
-        with self.decisions.held():
+        with self.decision_queue.deferred():
             for member, row in rows:
                 if row.state != EndpointState.GONE:
                     up = row.state == EndpointState.READY
@@ -67,4 +67,4 @@
             for number in gone:  # last, as one update may show a server both as up and as removed
                 self._endpoints.remove(number)
         entries = tuple(row for _, row in rows)
-        self.decisions.handle_first(api.EndpointList(self.servers.revision, form, entries))
+        self.decision_queue.handle_next(api.EndpointList(self.servers.revision, form, entries))
--- a/anisespool/log.py
+++ b/anisespool/log.py
@@ -1,5 +1,5 @@
-"""The log on standard error, by the standard library's logging: a line is `topic: text`, the topics as README
-lists them."""
+"""The log on standard error, through the `logging` module. Each line has the form `topic: text`; the README
+lists the topics."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from anisespool.errors import Fault
 
-MAX_LINE = 8000  # characters
+MAX_LINE_CHARS = 8000
 
 
 class _ToStderr(logging.StreamHandler[TextIO]):
-    """Wherever standard error is at the moment of the line."""
+    """Writes to the current `sys.stderr`, even if it is replaced after the import."""
 
     def __init__(self) -> None:
         logging.Handler.__init__(self)
@@ -32,12 +32,12 @@
     _ROOT.addHandler(_handler)
 
 
-def say(topic: str, text: str) -> None:
-    """One line, whatever is in the text."""
-    _ROOT.getChild(topic).info("%s", f"{topic}: {text}"[:MAX_LINE].replace("\n", " "))
+def log_info(topic: str, text: str) -> None:
+    """Log one line; line breaks in the text become spaces."""
+    _ROOT.getChild(topic).info("%s", f"{topic}: {text}"[:MAX_LINE_CHARS].replace("\n", " "))
 
 
-def fault(topic: str, error: Fault | BaseException) -> None:
-    """What went wrong, its type, and what to do; an error of another type goes by its own name."""
+def log_error(topic: str, error: Fault | BaseException) -> None:
+    """Log an error on one line: a `Fault` with its type and remedy, any other with the name of its type."""
     text = str(error) if isinstance(error, Fault) else f"{type(error).__name__}: {error}"
-    _ROOT.getChild(topic).warning("%s", f"{topic}: {text}"[:MAX_LINE].replace("\n", " "))
+    _ROOT.getChild(topic).warning("%s", f"{topic}: {text}"[:MAX_LINE_CHARS].replace("\n", " "))
--- a/anisespool/reload.py
+++ b/anisespool/reload.py
@@ -1,4 +1,4 @@
-"""A new configuration at SIGHUP: where the file says that discovery is, however long it cannot be read."""
+"""Rereads discovery's address from the configuration file after SIGHUP, and retries until it is readable."""
 
 from __future__ import annotations
 
@@ -9,58 +9,61 @@
 from anisespool.config import Address, Config, reload_discovery
 from anisespool.discovery.watch import AddressChange
 from anisespool.errors import ConfigError
-from anisespool.log import say
-from anisespool.waiting import first_of
+from anisespool.log import log_info
+from anisespool.waiting import wait_for_any
 
-AGAIN_S, LONGEST_AGAIN_S = 0.05, 0.5  # between two looks at a file that cannot be read, at first and later
+RETRY_S, MAX_RETRY_S = 0.05, 0.5  # between reads of an unreadable file, doubled each time
 
 
-class Reload:
-    """Reads the file whenever it is asked to, until it can be read, and names each address to the watch."""
+class ConfigReloader:
+    """Reads the file on request, and passes each new address to the discovery watch through `moves`."""
 
     def __init__(self, env: Mapping[str, str], config: Config) -> None:
-        """`config`: what was read at the start of the process."""
-        self.moves = asyncio.Queue[AddressChange]()  # for the watch on discovery
+        """`config`: the configuration that the process started with."""
+        self.moves = asyncio.Queue[AddressChange]()  # read by the discovery watch
         self._env, self._discovery = env, config.discovery
-        self._asked = asyncio.Event()
-        self._asked_s = 0.0  # monotonic seconds
+        self._requested = asyncio.Event()
+        self._requested_s = 0.0  # monotonic seconds
 
-    def ask(self) -> None:
-        """The file has been replaced. A signal before the handler of SIGHUP stood was ignored (`run` in the
-        deploy file), so this is called once as it stands, too."""
-        self._asked_s = time.monotonic()
-        self._asked.set()
+    def request(self) -> None:
+        """Request a reread, as the file may have been replaced. Also called once when the SIGHUP handler is
+        installed, as earlier signals are ignored (`run` in the deploy file)."""
+        self._requested_s = time.monotonic()
+        self._requested.set()
 
     async def follow(self) -> None:
-        """For good. The first time the file counts only where it names another address: its writer may have
-        meant it for this process, whose environment is older."""
-        await self._asked.wait()
-        self._asked.clear()
-        address = await self._read(otherwise=self._discovery)
+        """Serve requests until cancelled. The first read, made at the start, is used only if it gives an
+        address other than the environment's: the file may have been replaced since that was set."""
+        await self._requested.wait()
+        self._requested.clear()
+        address = await self._read(default=self._discovery)
         if address != self._discovery:
-            self._move(address)
+            self._emit(address)
         while True:
-            await self._asked.wait()
-            self._asked.clear()
-            self._move(await self._read())
+            await self._requested.wait()
+            self._requested.clear()
+            self._emit(await self._read())
 
-    def _move(self, address: Address) -> None:
+    def _emit(self, address: Address) -> None:
         self._discovery = address
-        self.moves.put_nowait(AddressChange(address, self._asked_s))
+        self.moves.put_nowait(AddressChange(address, self._requested_s))
 
-    async def _read(self, otherwise: Address | None = None) -> Address:
-        """The address in the file, once it can be read, or `otherwise` if it has none. A file may be seen
-        half written."""
-        pause_s, complaint = AGAIN_S, ""
+    async def _read(self, default: Address | None = None) -> Address:
+        """The address in the file, or `default` if it has none. Retries while the file is invalid, for
+        example half written."""
+        pause_s, last_error = RETRY_S, ""
         while True:
-            if self._asked.is_set():  # again, meanwhile
-                self._asked.clear()
-                pause_s, complaint = AGAIN_S, ""
+            if self._requested.is_set():  # requested again: start over
+                self._requested.clear()
+                pause_s, last_error = RETRY_S, ""
             try:
-                return reload_discovery(self._env, otherwise)
-            except ConfigError as error:  # a bad file must not cost what works
-                if str(error) != complaint:
-                    complaint = str(error)
-                    say("anisespool", f"the old configuration stays, and is read again: {error}")
-            await first_of((self._asked,), pause_s)
-            pause_s = min(2 * pause_s, LONGEST_AGAIN_S)
+                return reload_discovery(self._env, default)
+            except ConfigError as error:  # an invalid file must not affect the current configuration
+                if str(error) != last_error:
+                    last_error = str(error)
+                    log_info(
+                        "anisespool",
+                        f"the old configuration stays in use, and the file is read again: {error}",
+                    )
+            await wait_for_any((self._requested,), pause_s)
+            pause_s = min(2 * pause_s, MAX_RETRY_S)
--- a/anisespool/servers.py
+++ b/anisespool/servers.py
@@ -9,7 +9,7 @@
 
 from anisespool.clock import SteadyClock
 from anisespool.config import Member, MemberList
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.peers import shared_id
 from anisespool.state.records import Order
 from anisespool.withdrawals import Withdrawals
@@ -66,7 +66,7 @@
         self.revision = update.revision
         self.discovery_heard |= form is not ListForm.CACHED
         if self._clock:
-            self._clock.look()
+            self._clock.detect_step()
         missing: list[str] = []
         if form is not ListForm.DELTA:
             missing = sorted(self.numbers.keys() - {member.id for member in update.members})
@@ -214,7 +214,7 @@
         if known and known.up_since_ms == member.up_since_ms:
             started_ns = known.row.started_ns
         else:
-            started_ns = max(1, self._clock.passed_ns(member.up_since_ms))
+            started_ns = max(1, self._clock.to_past_monotonic_ns(member.up_since_ms))
             if started_ns < self._caught_up_ns - MAX_LIST_DELAY_NS:
                 started_ns = self._caught_up_ns
         return member._replace(row=member.row._replace(started_ns=started_ns))
@@ -227,7 +227,7 @@
             self.shared_ids[self._next_number] = shared_id(member.id)
             self.number_by_shared_id[shared_id(member.id)] = self._next_number
             place = "{}:{}".format(*member.address)  # the balancer's log lines use the number
-            say("driver", f"endpoint {self._next_number} is {member.id} at {place}")
+            log_info("driver", f"endpoint {self._next_number} is {member.id} at {place}")
         return self.numbers[member.id]
 
     def _drop_number(self, member_id: str) -> int:
--- a/anisespool/sidecar.py
+++ b/anisespool/sidecar.py
@@ -1,5 +1,5 @@
-"""The driver: events to the decision module, its actions to sockets and timers. It decides nothing; it
-knows who is still owed an answer."""
+"""The driver of the decision module: turns requests, timers and attempt results into events, and actions into
+sends, answers and timers. It makes no decisions itself, but tracks which requests still need an answer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from anisespool.clock import CLOCK
 from anisespool.config import Config
-from anisespool.decision_queue import Decisions
+from anisespool.decision_queue import DecisionQueue
 from anisespool.endpoints import Attempt, Endpoints
 from anisespool.exchange import ANSWER_RESERVE_NS, Answer, Call, Exchange, Exchanges
-from anisespool.external_state import Outside
+from anisespool.external_state import ExternalState
 from anisespool.list_updater import ListUpdater
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.peers import Peers
 from anisespool.servers import Servers
 from anisespool.state.records import Order
@@ -25,58 +25,65 @@
 
 
 class Sidecar(ListUpdater):
+    """Connects the decision module with clients, endpoints, discovery and peers."""
+
     def __init__(
         self, config: Config, endpoints: Endpoints, orders: Mapping[str, Order] | None = None
     ) -> None:
-        """`orders`: what the operators have said of servers, kept up to date by its owner."""
+        """`orders`: the operator orders by server id, kept up to date by the owner."""
         fleet_size = config.settings.fleet_size
         servers = Servers({} if orders is None else orders, CLOCK.epoch_ns, CLOCK, fleet_size)
-        decisions = Decisions(Balancer(config.settings, config.seed), self._handled, self._give_up)
-        super().__init__(servers, decisions, endpoints)
+        decision_queue = DecisionQueue(
+            Balancer(config.settings, config.seed), self._on_handled, self._on_module_error
+        )
+        super().__init__(servers, decision_queue, endpoints)
         self._exchanges = Exchanges()
         self._next_request = 0
-        self._end_ns: int | None = None  # monotonic: the last moment for answers, once a shutdown is planned
-        self.outside = Outside(self.servers, self._handle, self.refresh)
-        self.peers = self.outside.peers = Peers(config.peers, self.outside.heard) if config.peers else None
-        self.decisions.actions = {
+        self._end_ns: int | None = None  # monotonic: deadline for all answers, once shutdown begins
+        self.external = ExternalState(self.servers, self._handle, self.refresh)
+        self.peers = self.external.peers = (
+            Peers(config.peers, self.external.on_peer_message) if config.peers else None
+        )
+        self.decision_queue.actions = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
             api.SetTimer: self._set_timer, api.Log: self._log, api.Fault: self._log,
-            api.CloseIdle: self._close_idle, **self.outside.actions}  # fmt: skip
+            api.CloseIdle: self._close_idle, **self.external.actions}  # fmt: skip
 
     @property
     def ready(self) -> bool:
-        """Requests can be served: discovery has named an endpoint."""
+        """Whether an endpoint is usable, so that requests can be served."""
         return bool(self.servers.ready)
 
     @property
     def open(self) -> int:
-        """Requests that are owed an answer, or whose attempts have not all ended."""
+        """Number of requests that are not answered yet, or whose attempts have not all ended."""
         return len(self._exchanges)
 
-    # From the application -------------------------------------------------------------------------
+    # Called by the server -------------------------------------------------------------------------
 
-    def take(
+    def submit(
         self, call: Call, reply: Callable[[Answer], None], is_gone: Callable[[], bool] = lambda: False
     ) -> int:
-        """A request has come; `reply` is called once, maybe before this returns. `is_gone`: whether its
-        client has left, though nobody may have told us yet."""
+        """Start a request and return its id. `reply` is called once, maybe before this returns. `is_gone`:
+        whether the client has disconnected, even if `on_client_gone` has not been called yet."""
         self._next_request += 1
         request_id, now = self._next_request, time.monotonic_ns()
         self._read_discovery(now)
         left_ns = max(0, call.left_ns - ANSWER_RESERVE_NS)
-        exchange = Exchange(call, now + left_ns, reply, is_gone, lambda: self._overdue(request_id))
+        exchange = Exchange(call, now + left_ns, reply, is_gone, lambda: self._on_deadline(request_id))
         self._exchanges[request_id] = exchange
         if self._end_ns is not None:
             exchange.cap(self._end_ns)
-        exchange.set_backstop()
+        exchange.start_deadline_timer()
         event = api.Request(
             request_id, call.cls, left_ns, call.hint_ns, call.key, call.tenant, call.is_retry,
-            has_long_body=call.request.flow is not None, dedup_key=call.dedup_key,
+            has_long_body=call.request.body_stream is not None, dedup_key=call.dedup_key,
         )  # fmt: skip
         self._handle(event)
         return request_id
 
-    def client_gone(self, request_id: int) -> None:
+    def on_client_gone(self, request_id: int) -> None:
+        """The client has disconnected: cancel the request if its answer is not complete."""
         exchange = self._exchanges.get(request_id)
         if exchange and (exchange.reply or exchange.streaming):
             TELEMETRY.count("clients gone")
@@ -84,67 +91,71 @@
             self._handle(api.ClientGone(request_id))
             self._exchanges.abandon(request_id)
 
-    def end_by(self, end_ns: int) -> None:
-        """The process ends: every request, taken or yet to come, is answered by `end_ns`, monotonic."""
+    def answer_by(self, end_ns: int) -> None:
+        """The process is shutting down: answer all requests, also later ones, by `end_ns`, monotonic."""
         self._end_ns = end_ns
         for exchange in self._exchanges.values():
             exchange.cap(end_ns)
         self._handle(api.ProcessEnding(max(0, end_ns - ANSWER_RESERVE_NS - time.monotonic_ns())))
 
     def _handle(self, event: api.Event) -> None:
-        self.decisions.handle(event)
+        self.decision_queue.handle(event)
 
-    def _handled(self, event: api.Event) -> None:
+    def _on_handled(self, event: api.Event) -> None:
         if isinstance(event, api.Outcome | api.ClientGone):
             self._exchanges.forget(event.request)
 
-    # Its actions ----------------------------------------------------------------------------------
+    # Actions of the decision module ---------------------------------------------------------------
 
     def _send(self, action: api.Send) -> None:
         exchange = self._exchanges.get(action.request)
         if exchange is None or exchange.reply is None:
-            return  # rule 1: nothing more for a request that is over
+            return  # it is over: no further attempt
         now = time.monotonic_ns()
         deadline = (
             min(now + action.timeout_ns, exchange.deadline_ns) if action.timeout_ns else exchange.deadline_ns
         )
         attempt = Attempt(action.request, len(exchange.attempts), action.endpoint, exchange.call.request,
-                          deadline, self._ended, self._began, self._body_moved, self._stays)  # fmt: skip
+                          deadline, self._on_attempt_end, self._on_response_start, self._on_body_progress,
+                          self._may_start)  # fmt: skip
         if exchange.attempts:
-            place = self.servers.ids.get(action.endpoint)
-            self._log_request(exchange, f"attempt {attempt.number} at {place}")
+            server = self.servers.ids.get(action.endpoint)
+            self._log_request(exchange, f"attempt {attempt.number} at {server}")
         exchange.attempts.append(attempt)
         exchange.cap_attempt(attempt)
-        if self._stays(attempt):
+        if self._may_start(attempt):
             self._endpoints.send(attempt)
 
-    def _stays(self, attempt: Attempt) -> bool:
-        """Whether the attempt may still begin: its client is there. With the end of a connection yet
-        unread, work would be begun that nobody waits for. One that has gone ends the attempt here."""
+    def _may_start(self, attempt: Attempt) -> bool:
+        """Whether the attempt may still start. Checks for a disconnect that has not been read yet, as a
+        server would otherwise start work that nobody waits for; if the client is gone, this ends the
+        attempt."""
         if attempt.status is None and self._exchanges[attempt.request_id].is_gone():
-            self.client_gone(attempt.request_id)
+            self.on_client_gone(attempt.request_id)
         return attempt.status is None
 
-    def _body_moved(self, attempt: Attempt) -> None:
-        """Of a long body the first bytes have gone, or the last. What is gone can't be sent again; and only
-        from the last on does a request's time run."""
+    def _on_body_progress(self, attempt: Attempt) -> None:
+        """The first or the last bytes of a long request body were sent. A body partly sent cannot be sent
+        again. The request's time limit starts only with the last byte."""
         exchange = self._exchanges[attempt.request_id]
-        exchange.drop_backstop()
+        exchange.cancel_deadline_timer()
         if attempt.started_ns and exchange.reply:
-            exchange.set_backstop()
+            exchange.start_deadline_timer()
         self._handle(api.BodyProgress(attempt.request_id, attempt.number, attempt.started_ns > 0))
 
-    def _began(self, attempt: Attempt) -> None:
-        exchange, flow = self._exchanges[attempt.request_id], attempt.flow
-        assert flow
+    def _on_response_start(self, attempt: Attempt) -> None:
+        """The first bytes of a long response have arrived: stream it to the client."""
+        exchange, body_stream = self._exchanges[attempt.request_id], attempt.body_stream
+        assert body_stream
         if exchange.reply is None:
-            flow.drop()
+            body_stream.discard()
             return
-        exchange.answer(Answer(200, flow=flow))
+        exchange.answer(Answer(200, body_stream=body_stream))
         exchange.streaming = True
         self._handle(api.FirstByte(attempt.request_id, attempt.endpoint, attempt.latency_ns, attempt.number))
 
-    def _ended(self, attempt: Attempt) -> None:
+    def _on_attempt_end(self, attempt: Attempt) -> None:
+        """Answer the client with a successful response, and report the outcome to the module."""
         exchange, status = self._exchanges[attempt.request_id], attempt.status
         assert status is not None
         if status is Status.OK and attempt.response and exchange.reply:
@@ -178,38 +189,41 @@
 
     def _set_timer(self, action: api.SetTimer) -> None:
         timer = api.Timer(action.token)
-        asyncio.get_running_loop().call_later(action.delay_ns / 1e9, self._due, timer)
+        asyncio.get_running_loop().call_later(action.delay_ns / 1e9, self._on_timer, timer)
 
-    def _due(self, timer: api.Timer) -> None:
+    def _on_timer(self, timer: api.Timer) -> None:
         self._read_discovery(time.monotonic_ns())
         self._handle(timer)
 
     def _log(self, action: api.Log | api.Fault) -> None:
         topic, _, text = action.text.partition(": ")
-        say(topic, text)
+        log_info(topic, text)
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         self._endpoints.close_idle(action.endpoint)
 
-    # Who is owed an answer ------------------------------------------------------------------------
+    # Answers without a decision -------------------------------------------------------------------
 
-    def _overdue(self, request_id: int) -> None:
-        """A silent module would let the client's time run out. 504 promises nothing."""
+    def _on_deadline(self, request_id: int) -> None:
+        """The module has not decided in time: answer 504, which does not say whether the request was
+        executed."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
-            self._log_request(exchange, "answered 504, as the module did not end it")
+            self._log_request(exchange, "answered 504, as the module made no decision in time")
             exchange.answer(Answer(504, b"no answer in time\n"))
             self._handle(api.ClientGone(request_id))
             self._exchanges.abandon(request_id)
 
-    def answer_all(self) -> bool:
-        """The process ends: who is still owed an answer gets one. Whether anybody was."""
-        owed = self._exchanges.owed()
-        for request_id in owed:
-            self._overdue(request_id)
-        return bool(owed)
+    def answer_pending(self) -> bool:
+        """The process is shutting down: answer 504 to the requests received completely and not answered yet.
+        Returns whether there were any."""
+        unanswered = self._exchanges.unanswered()
+        for request_id in unanswered:
+            self._on_deadline(request_id)
+        return bool(unanswered)
 
-    def _give_up(self, request_id: int) -> None:
+    def _on_module_error(self, request_id: int) -> None:
+        """The module raised on an event of this request: answer 504."""
         exchange = self._exchanges.get(request_id)
         if exchange:
             exchange.answer(Answer(504, b"no decision\n"))
--- a/anisespool/sockets.py
+++ b/anisespool/sockets.py
@@ -1,4 +1,4 @@
-"""Calls on sockets whose connection may be gone by now: ENOTCONN, EINVAL and the like are no fault."""
+"""Socket calls that tolerate a closed connection, whose errors such as ENOTCONN and EINVAL are expected."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from contextlib import suppress
 from typing import Any
 
-from anisespool.log import fault
+from anisespool.log import log_error
 
 
 def end_output(transport: asyncio.WriteTransport, linger_s: float) -> asyncio.TimerHandle:
-    """Shut our side down behind what is written, and abort after so many seconds. shutdown(2) fails with
-    ENOTCONN where a reset has come and is yet unread; then nobody is there to read on."""
+    """Shut down the output after the data already written, and abort after `linger_s`. shutdown(2) fails with
+    ENOTCONN if a reset has arrived but was not read yet; the connection is then aborted at once."""
     try:
         transport.write_eof()
     except OSError:
@@ -20,16 +20,17 @@
 
 
 def set_option(transport: asyncio.BaseTransport, level: int, option: int, value: int | bytes) -> None:
-    """Set a socket's option, as far as it can be. A connection that is gone ends by its next read."""
+    """Set a socket option, ignoring errors: a closed connection is detected by its next read."""
     with suppress(OSError):
         transport.get_extra_info("socket").setsockopt(level, option, value)
 
 
 def callback_failed(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """The loop's exception handler. A system call that fails in a callback of the loop itself, as a shutdown
-    behind the last unsent bytes, is one line; all else is a fault of the program and logged as ever."""
+    """Exception handler of the event loop. A system call that fails in one of the loop's own callbacks, such
+    as a delayed shutdown(2), is logged on one line. Anything else is a bug, and gets the default
+    traceback."""
     error = context.get("exception")
     if isinstance(error, OSError):
-        fault("server", error)
+        log_error("server", error)
     else:
         loop.default_exception_handler(context)
--- a/anisespool/state/clock.py
+++ b/anisespool/state/clock.py
@@ -38,14 +38,14 @@
         if body is None:
             return
         restored = SteadyClock()
-        restored.continue_from(_parse_epochs(body))
+        restored.resume_from(_parse_epochs(body))
     except (StoreError, ValueError) as error:
         log(f"the previous process's clock is not used: {error}")
         return
     if restored.unix_ms() + CLOCK_TOLERANCE_MS < latest_ms:
         log("the previous process's clock is not used: the store has rows with later times")
         return
-    clock.epochs_ns, clock.epoch_ns, clock.is_continued = restored.epochs_ns, restored.epoch_ns, True
+    clock.epochs_ns, clock.epoch_ns, clock.is_resumed = restored.epochs_ns, restored.epoch_ns, True
 
 
 async def save_clock(clock: SteadyClock, store: Store) -> None:
--- a/anisespool/state/learned_state.py
+++ b/anisespool/state/learned_state.py
@@ -11,12 +11,12 @@
 
 from anisespool.clock import CLOCK
 from anisespool.errors import StoreError
-from anisespool.external_state import Outside
-from anisespool.log import say
+from anisespool.external_state import ExternalState
+from anisespool.log import log_info
 from anisespool.state.pending_writes import PendingRecords, PendingWrite
 from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow, VerdictRow
 from anisespool.state.store import Record, Store, now_ms
-from anisespool.upgrade_locks import Pair
+from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import Status
 
 SNAPSHOT_INTERVAL_S = 1.0  # between writes of response times: a crash loses no more than this
@@ -29,9 +29,16 @@
 class LearnedState:
     """Moves learned state between the balancing module (shuntlead) and the state store."""
 
-    def __init__(self, store: Store, pair: Pair, outside: Outside, keeps_pins: bool) -> None:
+    def __init__(
+        self, store: Store, upgrade_locks: UpgradeLocks, external: ExternalState, keeps_pins: bool
+    ) -> None:
         """`keeps_pins`: whether some requests must be sent to the dedup group that got their key before."""
-        self._store, self._pair, self._outside, self._keeps_pins = store, pair, outside, keeps_pins
+        self._store, self._upgrade_locks, self._external, self._keeps_pins = (
+            store,
+            upgrade_locks,
+            external,
+            keeps_pins,
+        )
         self._pins = PendingRecords(store, "the record of pinned keys", PIN_WRITE_INTERVAL_S)
         self._learned = PendingRecords(store, "the learned server state", PIN_WRITE_INTERVAL_S)
         self._pending_read = PendingWrite(
@@ -40,7 +47,7 @@
         self._written_at_ms: dict[str, int] = {}  # server -> time of the response times last written
         self._snapshot_due = asyncio.Event()
         self._last_logged = ""
-        outside.on_pin, outside.on_remember = self.pin, self._snapshot_due.set
+        external.on_pin, external.on_remember = self.pin, self._snapshot_due.set
         self._has_loaded = False  # from then on all records are dated by this process's clock
         store.on_new_file.append(self.load)
 
@@ -64,10 +71,10 @@
             learned = [_learned_row(record) for record in self._store.records(LEARNED)]
             ejections = [VerdictRow(record.id, record.until_ms, Status(int(record.body)))
                         for record in self._store.records(VERDICT)]  # fmt: skip
-            is_same_clock = CLOCK.is_continued or self._has_loaded
+            is_same_clock = CLOCK.is_resumed or self._has_loaded
             pins = self._read_pins() if is_same_clock else self._read_pins_from_other_clock()
             self._has_loaded = True
-            self._outside.recall(PersistedState(learned, ejections), pins)
+            self._external.recall(PersistedState(learned, ejections), pins)
         except (ValueError, TypeError) as error:
             self._log_once(f"the learned state is ignored, as a record is malformed: {error}")
 
@@ -95,7 +102,7 @@
         while True:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self._snapshot_due.wait(), SNAPSHOT_INTERVAL_S)
-            rows = self._changed(self._outside.snapshot())
+            rows = self._changed(self._external.snapshot())
             self._snapshot_due.clear()  # taking the snapshot has set it, too
             self._learned.add(rows)
             await asyncio.sleep(PIN_WRITE_INTERVAL_S)
@@ -104,10 +111,10 @@
         """Pass on the pins that the other process of an upgrade has stored since the last check."""
         if not self._keeps_pins:
             return
-        async for must_read in self._pair.store_looks(PIN_WRITE_INTERVAL_S):
+        async for must_read in self._upgrade_locks.store_polls(PIN_WRITE_INTERVAL_S):
             try:
                 if self._store.has_changed(PIN) or must_read:
-                    self._outside.recall(PersistedState((), ()), self._read_pins())
+                    self._external.recall(PersistedState((), ()), self._read_pins())
             except StoreError as error:
                 self._pending_read.report_failure(error)
                 self._pending_read.schedule()
@@ -145,7 +152,7 @@
         """Log a text unless it is the same as the last one."""
         if text != self._last_logged:
             self._last_logged = text
-            say("state", text[:300])
+            log_info("state", text[:300])
 
 
 def _learned_row(record: Record) -> LearnedRow:
--- a/anisespool/state/list_snapshot.py
+++ b/anisespool/state/list_snapshot.py
@@ -12,7 +12,7 @@
 
 from anisespool.config import MemberList, NameIndex
 from anisespool.errors import StoreError
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.state.pending_writes import PendingWrite
 from anisespool.state.store import ListHead, Store
 
@@ -59,11 +59,11 @@
             stored_list, etag = names.member_list(raw)._replace(source="state store"), stored[0].etag
             self._digest = int(etag, 16) if etag else None
         except (StoreError, ValueError, AttributeError, RecursionError) as error:
-            say("state", f"the stored list is ignored: {error}"[:300])
+            log_info("state", f"the stored list is ignored: {error}"[:300])
             return known
         self._revision, self._etag, self._has_discovery_list = stored_list.revision, etag, True
         self._members = {str(entry["id"]): entry for entry in raw["members"]}
-        say("state", f"starting from the stored list of revision {stored_list.revision}")
+        log_info("state", f"starting from the stored list of revision {stored_list.revision}")
         return stored_list
 
     def on_update(
--- a/anisespool/state/peer_lists.py
+++ b/anisespool/state/peer_lists.py
@@ -17,8 +17,8 @@
 import zlib
 from collections.abc import Callable, Sequence
 
-from anisespool.external_state import Outside
-from anisespool.peers import MAX_DATAGRAM, Peers
+from anisespool.external_state import ExternalState
+from anisespool.peers import MAX_DATAGRAM_BYTES, Peers
 from shuntlead.outliers import quorum
 
 QUERY, LIST_PART = b"\x02", b"\x03"  # the first byte of a datagram: its type
@@ -27,7 +27,7 @@
 # The low half of a shared id. Ids may collide: about one in a thousand servers that are down is taken as up.
 _SHORT_ID = struct.Struct("<H")
 _SHORT_ID_MASK = 0xFFFF
-MAX_IDS_PER_PART = (MAX_DATAGRAM - 1 - _PART.size) // _SHORT_ID.size
+MAX_IDS_PER_PART = (MAX_DATAGRAM_BYTES - 1 - _PART.size) // _SHORT_ID.size
 MAX_PARTS = 16  # of one answer: about 1800 servers
 MAX_SHARED_ID = 0xFFFFFFFF
 # While a release restarts a fleet, most peers have no list themselves, so the second round asks more.
@@ -63,11 +63,16 @@
     """Asks peers for their lists, and answers peers that ask."""
 
     def __init__(
-        self, peers: Peers, outside: Outside, fleet_size: int, self_index: int, has_list: Callable[[], bool]
+        self,
+        peers: Peers,
+        external: ExternalState,
+        fleet_size: int,
+        self_index: int,
+        has_list: Callable[[], bool],
     ) -> None:
         """`has_list`: whether this process has received a list from discovery, so that it may answer
         peers."""
-        self._peers, self._outside, self._has_list = peers, outside, has_list
+        self._peers, self._external, self._has_list = peers, external, has_list
         self._other_peers = [n for n in range(min(fleet_size, len(peers.addresses))) if n != self_index]
         self._quorum = quorum(len(self._other_peers) + 1)
         self._nonce = random.getrandbits(32)
@@ -76,8 +81,8 @@
         self._answered_by: set[int] = set()
         self._quorum_reached = asyncio.Event()
         self._tokens, self._tokens_at = ANSWERS_BURST, 0.0
-        peers.handle(QUERY, self._on_query)
-        peers.handle(LIST_PART, self._on_list_part)
+        peers.register_handler(QUERY, self._on_query)
+        peers.register_handler(LIST_PART, self._on_list_part)
 
     async def query_peers(self, list_received: asyncio.Event) -> None:
         """Query peers until a quorum of them has sent a list, or all have answered, or discovery has sent a
@@ -107,13 +112,13 @@
             await asyncio.sleep(random.uniform(0.5, 1.0) * QUERY_INTERVAL_S)
             is_old = not list_received.is_set() or list_is_old()
             if is_old and not was_old:
-                self._outside.mark_list_stale()
+                self._external.mark_list_stale()
             if is_old:
                 self._query_random_peers(PEERS_PER_ROUND[0])
             was_old = is_old
 
     def _query_random_peers(self, count: int, wants_sightings: bool = False) -> None:
-        up = self._outside.servers.up_shared_ids()
+        up = self._external.servers.up_shared_ids()
         not_queried = [
             peer for peer in self._other_peers if peer not in self._parts_received
         ] or self._other_peers
@@ -134,11 +139,11 @@
         if not self._has_list():
             self._peers.send(sender, LIST_PART + _PART.pack(nonce, 0, 0, 0, 0, 0))
             return True
-        revision, up = self._outside.servers.revision, self._outside.servers.up_shared_ids()
+        revision, up = self._external.servers.revision, self._external.servers.up_shared_ids()
         unchanged = [LIST_PART + _PART.pack(nonce, revision, 0, 0, 0, 0)]
         for part in unchanged if their_digest == list_digest(up) else encode_list(nonce, revision, up):
             self._peers.send(sender, part)
-        self._outside.asked_by(sender, wants_sightings)
+        self._external.on_peer_query(sender, wants_sightings)
         return True
 
     def _on_list_part(self, sender: int, data: bytes) -> bool:
@@ -153,7 +158,7 @@
             return False
         if count:
             up = {n for (n,) in _SHORT_ID.iter_unpack(data[_PART.size :])}
-            self._outside.peer_list(sender, revision, low, high, lambda n: n & _SHORT_ID_MASK in up)
+            self._external.on_peer_list(sender, revision, low, high, lambda n: n & _SHORT_ID_MASK in up)
             self._parts_received[sender].add(number)
         if len(self._parts_received[sender]) == count and revision:
             self._complete_from.add(sender)
--- a/anisespool/state/pending_writes.py
+++ b/anisespool/state/pending_writes.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from anisespool.errors import StoreError, Unstorable
-from anisespool.log import say
+from anisespool.log import log_info
 from anisespool.state.records import Record, now_ms
 from anisespool.state.store import Store
 
@@ -74,13 +74,13 @@
         """Log the first of consecutive failures; the caller may have met it outside `write`."""
         if not self._is_failing:
             self._is_failing = True
-            say(self._topic, f"{self._failure_text}: {error}"[:MAX_LOG_CHARS])
+            log_info(self._topic, f"{self._failure_text}: {error}"[:MAX_LOG_CHARS])
 
     def _report_recovery(self) -> None:
         self._retry_s = RETRY_INITIAL_S
         if self._is_failing:
             self._is_failing = False
-            say(self._topic, self._recovery_text)
+            log_info(self._topic, self._recovery_text)
 
 
 class PendingRecords:
--- a/anisespool/state/records.py
+++ b/anisespool/state/records.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from anisespool.clock import CLOCK
-from anisespool.log import say
+from anisespool.log import log_info
 
 
 class Order(NamedTuple):
@@ -38,4 +38,4 @@
 
 
 def log(text: str) -> None:
-    say("state", text)
+    log_info("state", text)
--- a/anisespool/telemetry.py
+++ b/anisespool/telemetry.py
@@ -1,17 +1,17 @@
-"""Counters, and log lines about single requests, for whoever has to find out later what a sidecar did."""
+"""Counters, and rate-limited log lines about single requests, for diagnosis."""
 
 from __future__ import annotations
 
 import time
 from collections import Counter
 
-from anisespool.log import say
+from anisespool.log import log_info
 
-LINES_PER_S, LINES_BURST = 2.0, 20.0  # a log must not become a load
+LINES_PER_S, LINES_BURST = 2.0, 20.0  # limits the cost of logging
 
 
 class Telemetry:
-    """Counts since the start of the process, by name, and a bounded number of lines on requests."""
+    """Counters since the start of the process, and a token bucket that limits the lines about requests."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -21,12 +21,12 @@
         self.counts[name] += 1
 
     def log_counts(self) -> None:
-        """One line, `counters: NAME N, ...`, by name."""
-        say("counters", ", ".join(f"{name} {count}" for name, count in sorted(self.counts.items())))
+        """Log all counters on one line, sorted by name: `counters: NAME N, ...`."""
+        log_info("counters", ", ".join(f"{name} {count}" for name, count in sorted(self.counts.items())))
 
     def request(self, trace: bytes, text: str) -> None:
-        """Why a request was sent again or ended without an answer of a server. Lines over the bound are
-        counted as `lines left out`."""
+        """Log why a request was retried or failed without a server's answer. Lines over the rate limit are
+        only counted, as `lines left out`."""
         now_s = time.monotonic()
         earned = (now_s - self._tokens_at_s) * LINES_PER_S
         self._tokens, self._tokens_at_s = min(LINES_BURST, self._tokens + earned), now_s
@@ -34,7 +34,7 @@
             self.count("lines left out")
             return
         self._tokens -= 1
-        say("request", f"{trace.decode('ascii', 'replace')}: {text}")
+        log_info("request", f"{trace.decode('ascii', 'replace')}: {text}")
 
 
-TELEMETRY = Telemetry()  # this process's
+TELEMETRY = Telemetry()  # shared by the whole process
--- a/anisespool/upgrade_locks.py
+++ b/anisespool/upgrade_locks.py
@@ -1,6 +1,6 @@
-"""Whether another process of the same sidecar lives beside this one, as in an upgrade: they follow what each
-writes to the state store, and share the limits. Two locks in a folder that both have; a process that ends,
-however it ends, lets go of them."""
+"""Detects whether another process of the same sidecar is running, as during an upgrade. The two processes
+read what the other writes to the state store, and share the resource limits. Detection uses flock(2) on two
+files in a directory that both share; the kernel releases the locks when a process ends, however it ends."""
 
 from __future__ import annotations
 
@@ -12,75 +12,82 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from anisespool.log import say
+from anisespool.log import log_info
 
-LOOK_S = 0.1  # between two looks at the locks
-REOPEN_S = 1.0  # between two attempts to open the locks, where their folder fails
-KNOWN_S = 2 * LOOK_S  # from a process's lock until the first process surely knows of it
+POLL_INTERVAL_S = 0.1  # between checks of the locks
+REOPEN_INTERVAL_S = 1.0  # between attempts to open the lock files after a failure
+DETECTION_S = 2 * POLL_INTERVAL_S  # until the first process is sure to have seen another one's lock
 
 
-class Pair:
+class UpgradeLocks:
+    """The first process holds one lock; the processes that start later share the other."""
+
     def __init__(
         self, folder: Path | None, name: str, on_change: Callable[[bool], None] | None = None
     ) -> None:
-        """`folder`: None where the processes have none in common. `on_change` is told whether there are two
-        now."""
+        """`folder`: None if the processes share no directory. `on_change`: called with whether there are two
+        processes now."""
         self._stem = folder / f"anisespool-{quote(name, safe='')}" if folder else None
-        self._first: int | None = None  # of the one that was here first
-        self._second: int | None = None  # of those that came later
-        self._open_at = 0.0  # the next attempt to open them
+        self._first: int | None = None  # descriptor, locked by the process that started first
+        self._second: int | None = None  # descriptor, locked by later processes
+        self._open_at = 0.0  # monotonic seconds
         self._has_failed = False
         self._open()
         self._on_change = on_change
-        self._is_first = self._is_second = self.two = False
-        self._known_at = 0.0
-        self._news = asyncio.Event()  # set once `two` has changed, and another put in its place
+        self._holds_first = self._holds_second = self.has_other = False
+        self._detected_at = 0.0  # monotonic seconds; from then on the other process knows of this one
+        self._change = asyncio.Event()  # set when `has_other` changes, then replaced by a new one
 
     async def follow(self) -> None:
+        """Check the locks at regular intervals until `close`."""
         while self._stem is not None:
-            self.look()
-            await asyncio.sleep(LOOK_S)
+            self.poll()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def store_looks(self, every_s: float) -> AsyncIterator[bool]:
-        """Each time the state store is to be looked at. True, it is to be read: at the start, once another
-        process has come, and once it has ended. False: each `every_s` while another may live, which is always
-        where the locks cannot be had."""
+    async def store_polls(self, every_s: float) -> AsyncIterator[bool]:
+        """Yields whenever the state store is to be checked. True, it must be read: at the start, and when
+        another process starts or ends. False, it may have changed: each `every_s` while another process may
+        be running, which is always assumed while the locks are unavailable."""
         while True:
-            news = self._news
+            change = self._change
             yield True
-            while (self.two or self._first is None or self._second is None) and not news.is_set():
+            while (self.has_other or self._first is None or self._second is None) and not change.is_set():
                 await asyncio.sleep(every_s)
                 yield False
-            await news.wait()
+            await change.wait()
 
-    def unknown_s(self) -> float:
-        """For how long the other process may still not know of this one, nor follow what it writes. A
-        yes or a pin of that time is unknown there."""
-        return max(0.0, self._known_at - time.monotonic()) if self.two else 0.0
+    def undetected_s(self) -> float:
+        """How much longer the other process may be unaware of this one, and so miss orders and pins that this
+        process writes to the state store."""
+        return max(0.0, self._detected_at - time.monotonic()) if self.has_other else 0.0
 
-    def look(self) -> None:
+    def poll(self) -> None:
+        """Check the locks, and report a change of `has_other`."""
         if self._first is None or self._second is None:
             self._open()
         if self._first is None or self._second is None:
             return
-        if not self._is_first and _lock(self._first, fcntl.LOCK_EX):
-            self._is_first, self._known_at = True, 0.0
+        if not self._holds_first and _lock(self._first, fcntl.LOCK_EX):
+            self._holds_first, self._detected_at = True, 0.0
             _unlock(self._second)
-        if self._is_first:
-            two = not _lock(self._second, fcntl.LOCK_EX)
-            if not two:
+        if self._holds_first:
+            has_other = not _lock(self._second, fcntl.LOCK_EX)
+            if not has_other:
                 _unlock(self._second)
         else:
-            two = True
-            if not self._is_second:  # shared, as a third may come before the second has ended
-                self._is_second = _lock(self._second, fcntl.LOCK_SH)  # fails while the first is at its look
-                self._known_at = time.monotonic() + KNOWN_S + (0.0 if self._is_second else LOOK_S)
-        if two != self.two:
-            self.two = two
-            news, self._news = self._news, asyncio.Event()
-            news.set()
+            has_other = True
+            if not self._holds_second:  # shared: a third process may start before the second ends
+                # Fails while the first process tests this lock.
+                self._holds_second = _lock(self._second, fcntl.LOCK_SH)
+                self._detected_at = (
+                    time.monotonic() + DETECTION_S + (0.0 if self._holds_second else POLL_INTERVAL_S)
+                )
+        if has_other != self.has_other:
+            self.has_other = has_other
+            change, self._change = self._change, asyncio.Event()
+            change.set()
             if self._on_change:
-                self._on_change(two)
+                self._on_change(has_other)
 
     def close(self) -> None:
         for descriptor in (self._first, self._second):
@@ -89,11 +96,11 @@
         self._first = self._second = self._stem = None
 
     def _open(self) -> None:
-        """Open the locks, now or at a later look, each REOPEN_S: without them the other process does not know
-        of this one, and does not follow its orders."""
+        """Open the lock files, at most once in REOPEN_INTERVAL_S. Without them the other process is unaware
+        of this one, and does not read its orders."""
         if self._stem is None or time.monotonic() < self._open_at:
             return
-        self._open_at = time.monotonic() + REOPEN_S
+        self._open_at = time.monotonic() + REOPEN_INTERVAL_S
         try:
             if self._first is None:
                 self._first = _open(f"{self._stem}.first")
@@ -102,10 +109,12 @@
         except OSError as error:
             if not self._has_failed:
                 self._has_failed = True
-                say("upgrade", f"{error}; this process cannot know of another beside it")
+                log_info("upgrade", f"{error}; cannot detect another process of this sidecar")
             return
         if self._has_failed:
-            say("upgrade", "the locks can be had: this process knows of another beside it")
+            log_info(
+                "upgrade", "the lock files are open again; another process of this sidecar can be detected"
+            )
 
 
 def _open(path: str) -> int:
--- a/shuntlead/quotas.py
+++ b/shuntlead/quotas.py
@@ -89,7 +89,7 @@
         """The share of a tenant's requests that is admitted: its quota, and more by a factor that the servers
         have recently sustained. If the excess were admitted or refused as a whole by their present load, it
         would switch on and off with the delay of their reports and fill their queues each time."""
-        elapsed, shares = now - self._shares[0], self._shares[1]
+        elapsed, connection_limits = now - self._shares[0], self._shares[1]
         if elapsed >= SHARES_REFRESH_NS:
             pairs = zip(self.fleet_rates(now), self.quotas, strict=True)
             excesses = [max(1.0, rate / quota) if quota > 0 else 1.0 for rate, quota in pairs]
@@ -103,9 +103,9 @@
                 if len(self._reports) >= MIN_REPORTED_SHARE * (self._size - 1)
                 else MIN_ADMITTED_SHARE_UNINFORMED
             )
-            shares = [min(1.0, max(min_share, self._slack / excess)) for excess in excesses]
-            self._shares = now, shares
-        return shares[tenant]
+            connection_limits = [min(1.0, max(min_share, self._slack / excess)) for excess in excesses]
+            self._shares = now, connection_limits
+        return connection_limits[tenant]
 
     def admit(self, now: int, tenant: int, overloaded: bool) -> bool:
         """Whether this request is within the admitted share. Requests are admitted at even intervals: a
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -12,13 +12,13 @@
 from anisespool.config import Config, load
 from anisespool.discovery.object_decoder import ObjectDecoder
 from anisespool.endpoints import Endpoints
-from anisespool.limits import shares
+from anisespool.limits import connection_limits
 from anisespool.maintenance import Maintenance
 from anisespool.sidecar import Sidecar
 from anisespool.state.learned_state import LearnedState
 from anisespool.state.list_snapshot import ListSnapshot
 from anisespool.state.store import ListHead, Store
-from anisespool.upgrade_locks import Pair
+from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import ListForm
 from tests.net import member_list, settings_json
 from tests.scale.listing import HEAD, SKUS, ZONES, Row, chunk
@@ -85,15 +85,15 @@
             self.store = NoticedStore.open(folder, config.name)
             assert isinstance(self.store, NoticedStore)
         self.endpoints = Endpoints(settings.report_columns, settings.connect_timeout_ns, config.keepalive_ns,
-                                   shares(config, False)[1])  # fmt: skip
-        self.pair = Pair(folder, config.name)
-        self.pair.look()
-        self.maintenance = Maintenance(self.store, self.pair, self._ordered)
+                                   connection_limits(config, False)[1])  # fmt: skip
+        self.upgrade_locks = UpgradeLocks(folder, config.name)
+        self.upgrade_locks.poll()
+        self.maintenance = Maintenance(self.store, self.upgrade_locks, self._ordered)
         self.sidecar: Sidecar = Sidecar(config, self.endpoints, self.maintenance.orders)
         self.snapshot = ListSnapshot(self.store, config.known_members) if self.store else None
         self.memory: LearnedState | None = None
         if self.store:
-            self.memory = LearnedState(self.store, self.pair, self.sidecar.outside, keeps_pins=True)
+            self.memory = LearnedState(self.store, self.upgrade_locks, self.sidecar.external, keeps_pins=True)
         self.revision = 0
         self._lines, self._chunks = ObjectDecoder(), list[bytes]()
         self._parser = http1.ResponseParser(lambda data: self._chunks.append(data))
@@ -112,7 +112,7 @@
 
     def start_waiting(self) -> None:
         """What a sidecar does with nothing to do."""
-        works = [self.endpoints.sweep(), self.pair.follow(), self.maintenance.follow()]
+        works = [self.endpoints.sweep(), self.upgrade_locks.follow(), self.maintenance.follow()]
         works += [self.memory.follow()] if self.memory else []
         self._waiting = [asyncio.create_task(work) for work in works]
 
--- a/tests/scale/job.py
+++ b/tests/scale/job.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from anisespool.peers import RELEASE, shared_id
+from anisespool.peers import FORMAT_VERSION, shared_id
 from shuntlead import interface as api
 from shuntlead.peer_codec import encode_peer_message
 from tests.scale.decider import Decider
@@ -138,7 +138,7 @@
 def observations(ids: Iterable[str]) -> list[bytes]:
     """What peers tell of all these servers, in full datagrams."""
     seen = [api.Observation(shared_id(member_id), 1.5, 1.0, 0) for member_id in ids]
-    return [RELEASE + encode_peer_message(0.1, tuple(seen[at : at + api.MAX_OBSERVATIONS]))
+    return [FORMAT_VERSION + encode_peer_message(0.1, tuple(seen[at : at + api.MAX_OBSERVATIONS]))
             for at in range(0, len(seen), api.MAX_OBSERVATIONS)]  # fmt: skip
 
 
--- a/tests/scale_fleet/datagrams.py
+++ b/tests/scale_fleet/datagrams.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from anisespool.fleet.shared_state import encode_verdicts
-from anisespool.peers import MAX_DATAGRAM, RELEASE, shared_id
+from anisespool.peers import FORMAT_VERSION, MAX_DATAGRAM_BYTES, shared_id
 from anisespool.state import peer_lists
 from shuntlead.interface import MAX_OBSERVATIONS, Ejection, Observation, Status
 from shuntlead.members import EJECTION_REPEAT_NS, EJECTION_REPEATS, EJECTION_RESEND_NS
@@ -44,8 +44,8 @@
 def sizes() -> tuple[int, int]:
     """Of a datagram with sightings, and of one with the waits alone."""
     full = tuple(Observation(n, 1.0, 1.0, 0) for n in range(MAX_OBSERVATIONS))
-    long, short = (len(RELEASE + encode_peer_message(0.5, seen)) for seen in (full, ()))
-    if long > MAX_DATAGRAM:
+    long, short = (len(FORMAT_VERSION + encode_peer_message(0.5, seen)) for seen in (full, ()))
+    if long > MAX_DATAGRAM_BYTES:
         raise ValueError(f"{long} bytes")
     return long + HEADER_BYTES, short + HEADER_BYTES
 
--- a/tests/scale_fleet/test_scale_fleet.py
+++ b/tests/scale_fleet/test_scale_fleet.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from anisespool.peers import MAX_DATAGRAM
+from anisespool.peers import MAX_DATAGRAM_BYTES
 from tests.scale_fleet import collisions, course, datagrams, gossip_scenarios, lines, scenarios, watches
 from tests.scale_fleet.agreement import WITHIN
 from tests.scale_fleet.course import Play, Start
@@ -93,7 +93,7 @@
 def test_held_watches_and_talk_are_within_the_budget_at_the_planned_size() -> None:
     watched, talked = lines.steady(PLANNED, lines.CHANGES_S, 1), datagrams.talk(PLANNED, 1)
     assert watched.bytes_s + talked.sent_bytes + talked.heard_most_bytes <= lines.BUDGET_BYTES_S
-    assert all(size - datagrams.HEADER_BYTES <= MAX_DATAGRAM for size in datagrams.sizes())
+    assert all(size - datagrams.HEADER_BYTES <= MAX_DATAGRAM_BYTES for size in datagrams.sizes())
 
 
 def test_a_rows_bytes_are_those_of_a_made_list() -> None:
--- a/tests/scale_fleet/watches.py
+++ b/tests/scale_fleet/watches.py
@@ -121,7 +121,7 @@
 def _in_memory(loop: asyncio.AbstractEventLoop, discovery: _Discovery) -> Iterator[None]:
     """Only the clock, the connection and the log are replaced."""
     patch: Any = mock.patch.multiple
-    stand_ins: dict[str, Any] = {"time": SimpleNamespace(monotonic=loop.time), "fault": lambda *_: None}
+    stand_ins: dict[str, Any] = {"time": SimpleNamespace(monotonic=loop.time), "log_error": lambda *_: None}
     with (patch(watch, **stand_ins), patch(stream, **stand_ins),
           mock.patch.object(stream, "open_channel", opening(discovery.connect))):  # fmt: skip
         yield
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -100,10 +100,10 @@
 async def test_callers_that_finish_no_call_delay_nobody_and_are_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(admin, "CALL_S", 0.3)
+    monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
     async with operators_address() as (address, _):
         began = monotonic()
-        silent = [await asyncio.open_connection(*address) for _ in range(3 * admin.MOST_CALLERS)]
+        silent = [await asyncio.open_connection(*address) for _ in range(3 * admin.MAX_CALLERS)]
         silent[-1][1].write(b"REA")
         assert await call(address, b"READY\n") == b"SUCCESS serving\n"
         assert monotonic() - began < CALL_S
@@ -128,9 +128,9 @@
     it = Admin({"READY": ready, "DISABLE ": order}, lambda: None)
     address = it.listen(open_listener(Address("127.0.0.1", 0), 16))
     waiting = asyncio.create_task(call(address, b"DISABLE s-1\n"))
-    while not it.callers:
+    while not it.connections:
         await asyncio.sleep(0.001)
-    for _ in range(3 * admin.MOST_CALLERS):
+    for _ in range(3 * admin.MAX_CALLERS):
         assert await call(address, b"READY\n") == b"SUCCESS serving\n"
     release.set()
     assert await waiting == b"SUCCESS done\n"
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -97,7 +97,7 @@
             writer.write(data)
             reset(writer)
         assert (await call(it.admin, b"READY\n")).startswith(b"SUCCESS")
-        await until(lambda: not it.service._admin.callers)
+        await until(lambda: not it.service._admin.connections)
 
 
 BAD_ANSWERS = {
--- a/tests/test_clock_store.py
+++ b/tests/test_clock_store.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from anisespool.clock import MOST_EPOCHS, SteadyClock
+from anisespool.clock import MAX_EPOCHS, SteadyClock
 from anisespool.state import clock
 from anisespool.state.clock import restore_clock, save_clock
 from anisespool.state.store import Record, Store, now_ms, store_path
@@ -43,7 +43,7 @@
     step(monkeypatch, step_s)
     following = SteadyClock()
     restore_clock(following, store)
-    assert following.is_continued and following.epoch_ns == last.epoch_ns
+    assert following.is_resumed and following.epoch_ns == last.epoch_ns
     assert len(following.epochs_ns) == 2  # the starts of servers may be dated by either
 
 
@@ -61,7 +61,7 @@
     wall_ns = following.epoch_ns
     restore_clock(following, store)
     await save_clock(following, store)
-    assert not following.is_continued and following.epoch_ns == wall_ns
+    assert not following.is_resumed and following.epoch_ns == wall_ns
 
 
 async def test_a_clock_that_what_is_stored_is_later_than_did_not_go_on(
@@ -72,7 +72,7 @@
     await store.put([Record("learned", "s-0", later_ms, later_ms + 60_000, "[1.0, 0.0]")])
     following = SteadyClock()
     restore_clock(following, store)
-    assert not following.is_continued
+    assert not following.is_resumed
     assert "state: the previous process's clock is not used" in capfd.readouterr().err
 
 
@@ -83,7 +83,7 @@
     await store.put([Record(clock.KIND, clock.boot_id(), now_ms(), now_ms() + AHEAD_MS, body)])
     following = SteadyClock()
     restore_clock(following, store)
-    assert not following.is_continued
+    assert not following.is_resumed
     assert "state: the previous process's clock is not used" in capfd.readouterr().err
 
 
@@ -92,12 +92,12 @@
 ) -> None:
     clock = SteadyClock()
     first_ns = clock.epoch_ns
-    for _ in range(2 * MOST_EPOCHS):
+    for _ in range(2 * MAX_EPOCHS):
         step(monkeypatch, -10.0)
-        clock.look()
-        clock.look()
-    assert len(clock.epochs_ns) == MOST_EPOCHS and clock.epochs_ns[0] == clock.epoch_ns == first_ns
-    assert clock.epochs_ns[-1] < first_ns - 10 * SECOND * (2 * MOST_EPOCHS - 1)
+        clock.detect_step()
+        clock.detect_step()
+    assert len(clock.epochs_ns) == MAX_EPOCHS and clock.epochs_ns[0] == clock.epoch_ns == first_ns
+    assert clock.epochs_ns[-1] < first_ns - 10 * SECOND * (2 * MAX_EPOCHS - 1)
 
 
 async def test_orders_after_one_from_the_future_hold_at_both_processes_of_an_upgrade(tmp_path: Path) -> None:
--- a/tests/test_disk_ends.py
+++ b/tests/test_disk_ends.py
@@ -14,7 +14,7 @@
 
 from anisespool import upgrade_locks
 from anisespool.config import Address, load
-from anisespool.external_state import Outside
+from anisespool.external_state import ExternalState
 from anisespool.servers import Servers
 from anisespool.service import Service
 from anisespool.state import pending_writes, tables
@@ -22,7 +22,7 @@
 from anisespool.state.persisted_rows import PinRow
 from anisespool.state.records import Record, now_ms
 from anisespool.state.store import Order, Store, store_path
-from anisespool.upgrade_locks import Pair
+from anisespool.upgrade_locks import UpgradeLocks
 from tests.disk import FULL, FailingDisk, failing_disk, stored_orders
 from tests.net import TellingDiscovery, free_port, member, member_list, until, write_config
 from tests.test_admin import call
@@ -75,7 +75,7 @@
         disk.fail(FULL)
         assert (await call(admin, b"DISABLE s-0\n")).startswith(b"FAILURE")
         discovery.say(member_list(3, [rows[1] | {"phase": "draining"}], False))
-        service._sidecar.outside.on_pin(PinRow(7, 1, 0, 0, now_ms() + 60_000))
+        service._sidecar.external.on_pin(PinRow(7, 1, 0, 0, now_ms() + 60_000))
         for what in ("the list", "the record of pinned keys"):
             await until(lambda what=what: f"{what} is not stored" in log())  # type: ignore[misc]
         disk.recover()
@@ -102,13 +102,13 @@
 ) -> None:
     """The store has what bound it before, as the later record waits for the disk."""
     recalled: list[list[int]] = []
-    outside = Outside(Servers({}, 0), lambda event: None)
-    outside.recall = lambda remembered, pins: recalled.append([pin.key for pin in pins])  # type: ignore[method-assign]
+    external = ExternalState(Servers({}, 0), lambda event: None)
+    external.recall = lambda remembered, pins: recalled.append([pin.key for pin in pins])  # type: ignore[method-assign]
     store, now = Store.open(tmp_path, "n0"), now_ms()
     assert store
     for key in (1, 2):
         await store.put([Record(PIN, str(key), now, now + 30_000, f"[{key}, 1, 0, 0]")])
-    it = LearnedState(store, Pair(None, "n0"), outside, keeps_pins=True)
+    it = LearnedState(store, UpgradeLocks(None, "n0"), external, keeps_pins=True)
     following = asyncio.create_task(it.follow())
     await until(lambda: recalled == [[1, 2]])
     disk.fail(FULL)
@@ -176,31 +176,31 @@
     assert len(again.out()) == 8
 
 
-def is_found(process: Pair) -> bool:
-    process.look()
-    return process.two
+def is_found(process: UpgradeLocks) -> bool:
+    process.poll()
+    return process.has_other
 
 
 async def test_locks_that_could_not_be_had_are_taken_once_their_folder_recovers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     """Else the other process of an upgrade never learns of this one, and does not follow its orders."""
-    monkeypatch.setattr(upgrade_locks, "LOOK_S", 0.01)
-    monkeypatch.setattr(upgrade_locks, "REOPEN_S", 0.01, raising=False)
+    monkeypatch.setattr(upgrade_locks, "POLL_INTERVAL_S", 0.01)
+    monkeypatch.setattr(upgrade_locks, "REOPEN_INTERVAL_S", 0.01, raising=False)
     folder = tmp_path / "later"
-    late = Pair(folder, "n0")
+    late = UpgradeLocks(folder, "n0")
     following = asyncio.create_task(late.follow())
     await asyncio.sleep(0.1)
     folder.mkdir()
-    other = Pair(folder, "n0")
+    other = UpgradeLocks(folder, "n0")
     try:
-        await until(lambda: late.two or is_found(other))
+        await until(lambda: late.has_other or is_found(other))
     finally:
         following.cancel()
         late.close()
         other.close()
     err = capfd.readouterr().err
-    assert err.count("cannot know of another") == err.count("the locks can be had") == 1
+    assert err.count("cannot detect another process") == err.count("the lock files are open") == 1
 
 
 def test_what_is_merged_twice_is_stored_once(tmp_path: Path) -> None:
--- a/tests/test_drain_hearsay.py
+++ b/tests/test_drain_hearsay.py
@@ -41,7 +41,7 @@
         """Two peers, of all servers, those that this sidecar has not listed too."""
         ids = {shared_id(name) for name in up}
         for peer in (1, 2):
-            self.sidecar.outside.peer_list(peer, PEERS, 0, MAX_SHARED_ID, lambda shared: shared in ids)
+            self.sidecar.external.on_peer_list(peer, PEERS, 0, MAX_SHARED_ID, lambda shared: shared in ids)
 
     def list(self, *rows: dict[str, object], complete: bool = False, revision: int = 3) -> None:
         self.sidecar.apply_list(self.names.member_list(member_list(revision, list(rows), complete)))
@@ -51,7 +51,7 @@
         before = [len(server.requests) for server in self.servers]
         answers: list[Answer] = []
         for _ in range(CALLS):
-            self.sidecar.take(Call(GET, 0, 0, 10**9, None, 0, False), answers.append)
+            self.sidecar.submit(Call(GET, 0, 0, 10**9, None, 0, False), answers.append)
         await until(lambda: len(answers) == CALLS)
         assert {answer.status for answer in answers} == {200}
         return {n for n, server in enumerate(self.servers) if len(server.requests) > before[n]}
@@ -92,7 +92,7 @@
         for name in ("s-0", "s-1", "s-unlisted"):
             for peer in (1, 2):
                 verdict = api.Ejection(shared_id(name), 1, Status.RESET)
-                it.sidecar.outside.peer_verdicts(peer, [verdict])
+                it.sidecar.external.on_peer_verdicts(peer, [verdict])
         assert await it.reached() == {2, 3}
         it.orders["s-0"] = Order(False, NOW_MS)
         it.orders["s-1"] = Order(False, NOW_MS)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -51,7 +51,7 @@
         self.answers: list[Answer] = []
 
     def take(self, cls: int = 2, left_ns: int = SECOND) -> int:
-        return self.sidecar.take(Call(GET, cls, 0, left_ns, None, 0, False), self.answers.append)
+        return self.sidecar.submit(Call(GET, cls, 0, left_ns, None, 0, False), self.answers.append)
 
 
 @asynccontextmanager
@@ -61,7 +61,7 @@
     config = load(write_config(folder, endpoint.address, [member("s-0", endpoint.address)]))
     sidecar = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16))
     module = Module(decide)
-    sidecar.decisions.module = module
+    sidecar.decision_queue.module = module
     sidecar.apply_list(config.known, ListForm.CACHED)
     yield Driven(sidecar, module)
 
@@ -133,7 +133,7 @@
 
 async def test_turned_away_when_the_request_is_over_is_moot(tmp_path: Path) -> None:
     async with Endpoint(NEVER_RAN).serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
-        it.sidecar.client_gone(it.take())
+        it.sidecar.on_client_gone(it.take())
         it.take()
         await until(lambda: len(it.module.outcomes()) == 2)
         statuses = {o.request: o.status for o in it.module.outcomes()}
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -27,9 +27,9 @@
 def test_a_line_of_the_log_is_one_line_and_names_the_fault_and_what_to_do(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    log.fault("state", errors.StoreBusy("cannot be written:\nlocked"))
-    log.fault("peers", OSError("odd"))
-    log.say("traffic", "x" * 100_000)
+    log.log_error("state", errors.StoreBusy("cannot be written:\nlocked"))
+    log.log_error("peers", OSError("odd"))
+    log.log_info("traffic", "x" * 100_000)
     fault, other, long, *rest = capfd.readouterr().err.split("\n")
     assert fault == f"state: cannot be written: locked [StoreBusy: {errors.StoreBusy.remedy}]"
-    assert other == "peers: OSError: odd" and len(long) == log.MAX_LINE and rest == [""]
+    assert other == "peers: OSError: odd" and len(long) == log.MAX_LINE_CHARS and rest == [""]
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -140,7 +140,7 @@
     """A failed look at the store's version ended the following; a failed read after it lost the change."""
     old, new = (Process(tmp_path, locks=tmp_path) for _ in range(2))
     assert new.store
-    async with running(*(work for p in (old, new) for work in (p.pair.follow(), p.it.follow()))):
+    async with running(*(work for p in (old, new) for work in (p.upgrade_locks.follow(), p.it.follow()))):
         await old.it.order("s-0", True)
         await until(lambda: old.out() == new.out() == {"s-0"})
         for pattern in ("PRAGMA data_version", "SELECT sidecar, server, out"):
@@ -159,11 +159,11 @@
     """A lone process does not look at its store again unasked."""
     before = Process(tmp_path, locks=tmp_path)
     await before.it.order("s-0", True)
-    before.pair.close()
+    before.upgrade_locks.close()
     process = Process(tmp_path, locks=tmp_path)
     disk.fail(IO_ERROR, READS)
     await process.it.load()
-    async with running(process.it.follow(), process.pair.follow()):
+    async with running(process.it.follow(), process.upgrade_locks.follow()):
         assert process.out() == set()
         disk.recover()
         await until(lambda: process.out() == {"s-0"})
--- a/tests/test_failing_records.py
+++ b/tests/test_failing_records.py
@@ -10,14 +10,14 @@
 import pytest
 
 from anisespool.config import MemberList
-from anisespool.external_state import Outside
+from anisespool.external_state import ExternalState
 from anisespool.servers import Servers
 from anisespool.state import learned_state, pending_writes
 from anisespool.state.learned_state import LearnedState
 from anisespool.state.list_snapshot import ListSnapshot
 from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow
 from anisespool.state.store import Store, now_ms
-from anisespool.upgrade_locks import Pair
+from anisespool.upgrade_locks import UpgradeLocks
 from tests.disk import FULL, IO_ERROR, FailingDisk, failing_disk, running
 from tests.net import member, member_list, until
 from tests.test_maintenance import ADDRESS
@@ -39,9 +39,9 @@
 
 
 def _memory(store: Store, folder: Path, learned: list[LearnedRow]) -> LearnedState:
-    outside = Outside(Servers({}, 0), lambda event: None)
-    outside.snapshot = lambda: PersistedState(learned, ())  # type: ignore[method-assign]
-    return LearnedState(store, Pair(folder, "n0"), outside, keeps_pins=True)
+    external = ExternalState(Servers({}, 0), lambda event: None)
+    external.snapshot = lambda: PersistedState(learned, ())  # type: ignore[method-assign]
+    return LearnedState(store, UpgradeLocks(folder, "n0"), external, keeps_pins=True)
 
 
 @pytest.fixture
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 import pytest
 
 from anisespool.fleet.shared_state import RATES, clock_ms, encode_verdicts
-from anisespool.peers import QUIET_S, shared_id
+from anisespool.peers import LOG_INTERVAL_S, shared_id
 from shuntlead.interface import Ejection, Status, TenantReport
 from shuntlead.members import EJECTION_RESEND_NS
 from shuntlead.peer_codec import encode_reports
@@ -212,7 +212,7 @@
             answered.append(await it.request(0, f"r{k}"))
         assert answered.count(200) >= 60 * MIN_ADMITTED_SHARE * 0.8 and set(answered) <= {200, 429}
         assert (await it.ask(0, "FLEET")).endswith("0 ejected:")
-        assert 1 <= it.log(0).count("peers: ") <= 1 + (monotonic() - began) / QUIET_S
+        assert 1 <= it.log(0).count("peers: ") <= 1 + (monotonic() - began) / LOG_INTERVAL_S
 
 
 @pytest.mark.timeout(40)
--- a/tests/test_gone_sockets.py
+++ b/tests/test_gone_sockets.py
@@ -146,7 +146,7 @@
         assert it.admin
         FailingCall(monkeypatch, "shutdown", number, 1, is_accepted_at(it.admin))
         await call(it.admin, b"READY\n")
-        await until(lambda: not it.service._admin.callers)
+        await until(lambda: not it.service._admin.connections)
         assert (await call(it.admin, b"READY\n")).startswith(b"SUCCESS")
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -18,7 +18,7 @@
 from anisespool.maintenance import Maintenance, Order
 from anisespool.sidecar import Sidecar
 from anisespool.state.store import Store
-from anisespool.upgrade_locks import Pair
+from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import ListedEndpoint, ListForm
 from tests.net import (
     OK,
@@ -44,10 +44,10 @@
     def __init__(self, folder: Path | None, legacy: Path | None = None, locks: Path | None = None) -> None:
         """`locks`: the folder of the locks; without, the store is followed always."""
         self.changed: list[str] = []
-        self.pair = Pair(locks, "n0")
-        self.pair.look()
+        self.upgrade_locks = UpgradeLocks(locks, "n0")
+        self.upgrade_locks.poll()
         self.store = Store.open(folder, "n0") if folder else None
-        self.it = Maintenance(self.store, self.pair, self._note, legacy)
+        self.it = Maintenance(self.store, self.upgrade_locks, self._note, legacy)
 
     def _note(self, servers: Iterable[str]) -> None:
         self.changed.extend(servers)
@@ -61,7 +61,9 @@
     tmp_path: Path, locked: bool
 ) -> None:
     old, new = (Process(tmp_path, locks=tmp_path if locked else None) for _ in range(2))
-    following = [asyncio.create_task(work) for p in (old, new) for work in (p.pair.follow(), p.it.follow())]
+    following = [
+        asyncio.create_task(work) for p in (old, new) for work in (p.upgrade_locks.follow(), p.it.follow())
+    ]
     await old.it.order("s-1", True)
     assert new.out() == {"s-1"} and new.changed == ["s-1"]  # by the time of the yes
     await asyncio.gather(old.it.order("s-2", True), new.it.order("s-3", True))
@@ -80,10 +82,10 @@
 ) -> None:
     """With looks at the locks that are further apart than those at the store, and a wait that a busy machine
     does not eat up."""
-    monkeypatch.setattr(upgrade_locks, "LOOK_S", 0.4)
-    monkeypatch.setattr(upgrade_locks, "KNOWN_S", 1.5)
+    monkeypatch.setattr(upgrade_locks, "POLL_INTERVAL_S", 0.4)
+    monkeypatch.setattr(upgrade_locks, "DETECTION_S", 1.5)
     old = Process(tmp_path, locks=tmp_path)
-    following = [asyncio.create_task(work) for work in (old.pair.follow(), old.it.follow())]
+    following = [asyncio.create_task(work) for work in (old.upgrade_locks.follow(), old.it.follow())]
     await asyncio.sleep(0)  # its first look is over
     new = Process(tmp_path, locks=tmp_path)
     await new.it.order("s-1", True)
@@ -149,7 +151,7 @@
         sidecar.apply_list(config.known, ListForm.CACHED)
         answers: list[Answer] = []
         for _ in range(8):  # all wait for the handshakes, as nothing else has run yet
-            sidecar.take(Call(GET, 0, 0, 10**9, None, 0, False), answers.append)
+            sidecar.submit(Call(GET, 0, 0, 10**9, None, 0, False), answers.append)
         orders["s-0"] = Order(True, NOW_MS)
         sidecar.refresh(["s-0"])
         await until(lambda: len(answers) == 8)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
 from anisespool.config import Address, MemberList, PeerAddresses, load
 from anisespool.endpoints import Endpoints
 from anisespool.errors import ConfigError
-from anisespool.peers import MAX_DATAGRAM, Peers, shared_id
+from anisespool.peers import MAX_DATAGRAM_BYTES, Peers, shared_id
 from anisespool.sidecar import Sidecar
 from shuntlead import interface as api
 from tests.net import member, until, write_config
@@ -45,13 +45,13 @@
     addresses, heard = free_addresses(2), list[api.PeerMessage]()
     first, second = await opened(addresses, 0, lambda m: None), await opened(addresses, 1, heard.append)
     for peer in (1, -1):  # -1: all
-        first.tell(peer, 0.5, SEEN)
+        first.send_sightings(peer, 0.5, SEEN)
         await until(lambda: bool(heard))
         message = heard.pop()
         assert (message.sender, len(message.observations)) == (0, api.MAX_OBSERVATIONS)
         assert message.pressure == pytest.approx(0.5, abs=0.01)
         assert message.observations[3].endpoint == shared_id("s-3")
-    first.tell(7, 0.5, SEEN)  # there is none
+    first.send_sightings(7, 0.5, SEEN)  # there is none
     first.close()
     second.close()
 
@@ -65,7 +65,7 @@
         foreign.bind(addresses[2])
         foreign.sendto(b"\x01\x80", addresses[1])  # well-formed, but from nobody that is listed
         junk = [b"", b"\x01", b"\x02\x80", b"\x01\x80abc", b"\x01\x80" + b"\0" * 7 * 37, b"x" * 9000]
-        for data in (*junk, *(os.urandom(MAX_DATAGRAM) for _ in range(200))):
+        for data in (*junk, *(os.urandom(MAX_DATAGRAM_BYTES) for _ in range(200))):
             sender.sendto(data, addresses[1])
         while not heard:  # what comes behind them is heard
             sender.sendto(b"\x01\x80", addresses[1])
@@ -85,7 +85,7 @@
     opening = asyncio.create_task(new.open())
     while new._transport is None:
         old.close()
-        old.tell(1, 0.5, ())  # for one request that is still being answered
+        old.send_sightings(1, 0.5, ())  # for one request that is still being answered
         await asyncio.sleep(0.01)
     await opening
     with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as sender:
@@ -110,15 +110,15 @@
 def test_sidecars_that_number_servers_differently_mean_the_same_ones(tmp_path: Path) -> None:
     config = load(write_config(tmp_path, Address("127.0.0.1", 9), []))
     sidecar, module = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16)), Module()
-    sidecar.decisions.module = module
+    sidecar.decision_queue.module = module
     members = [member(name, Address("127.0.0.1", 9)) for name in ("s-5", "s-3")]
     sidecar.apply_list(config.names.member_list({"revision": 2, "complete": True, "members": members}))
-    sidecar.outside.heard(api.PeerMessage(1, 0.5, SEEN))
+    sidecar.external.on_peer_message(api.PeerMessage(1, 0.5, SEEN))
     message = module.events[-1]
     assert isinstance(message, api.PeerMessage)
     assert [s.endpoint for s in message.observations] == [2, 1]  # s-3, s-5; it was told of no others
     sidecar.apply_list(MemberList(3, True, ()))
-    sidecar.outside.heard(api.PeerMessage(1, 0.5, SEEN))
+    sidecar.external.on_peer_message(api.PeerMessage(1, 0.5, SEEN))
     assert module.events[-1] == api.PeerMessage(1, 0.5, ())
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from anisespool.external_state import Outside
+from anisespool.external_state import ExternalState
 from anisespool.servers import Servers
 from anisespool.state import crash_guard, learned_state, tables
 from anisespool.state.persisted_rows import LearnedRow, PersistedState, VerdictRow
 from anisespool.state.store import Order, Record, Store, now_ms, store_path
-from anisespool.upgrade_locks import Pair
+from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import Status
 from tests.net import UNTIL_S, until
 
@@ -106,15 +106,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(learned_state, "SNAPSHOT_INTERVAL_S", 3600.0)
-    store, outside = Store.open(tmp_path, "n0"), Outside(Servers({}, 0), lambda event: None)
+    store, external = Store.open(tmp_path, "n0"), ExternalState(Servers({}, 0), lambda event: None)
     assert store
-    pair = Pair(tmp_path, "n0")
+    upgrade_locks = UpgradeLocks(tmp_path, "n0")
     verdict = VerdictRow("s-0", now_ms() + 60_000, Status.RESET)
-    monkeypatch.setattr(outside, "snapshot", lambda: PersistedState((), (verdict,)))
+    monkeypatch.setattr(external, "snapshot", lambda: PersistedState((), (verdict,)))
     following = asyncio.create_task(
-        learned_state.LearnedState(store, pair, outside, keeps_pins=False).follow()
+        learned_state.LearnedState(store, upgrade_locks, external, keeps_pins=False).follow()
     )
-    outside.on_remember()
+    external.on_remember()
     await until(lambda: [r.id for r in store.records(learned_state.VERDICT)] == ["s-0"])
     following.cancel()
     await asyncio.wait([following])
@@ -158,9 +158,12 @@
 
 async def test_what_was_learned_is_written_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each second's snapshot tells it again, as an age, and the times reckoned from that differ by 1 ms."""
-    store, outside = Store.open(tmp_path, "n0"), Outside(Servers({}, 0), lambda event: None)
+    store, external = Store.open(tmp_path, "n0"), ExternalState(Servers({}, 0), lambda event: None)
     assert store
-    kept, written = learned_state.LearnedState(store, Pair(tmp_path, "n0"), outside, keeps_pins=False), []
+    kept, written = (
+        learned_state.LearnedState(store, UpgradeLocks(tmp_path, "n0"), external, keeps_pins=False),
+        [],
+    )
     for at_ms in (5_000, 5_001, 5_000, 5_001, 5_003, 5_002):
         written += kept._changed(PersistedState([LearnedRow("s-0", 1.0, 0.0, at_ms)], []))
     assert [record.at_ms for record in written] == [5_000, 5_003]
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -19,13 +19,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     left_ms: dict[bytes, float] = {}
-    take = Sidecar.take
+    take = Sidecar.submit
 
     def seen(self: Sidecar, call: Call, reply: Callable[[Answer], None], is_gone: Callable[[], bool]) -> int:
         left_ms[call.request.headers[b"x-trace-id"]] = call.left_ns / 1e6
         return take(self, call, reply, is_gone)
 
-    monkeypatch.setattr(Sidecar, "take", seen)
+    monkeypatch.setattr(Sidecar, "submit", seen)
     release = asyncio.Event()
     async with Endpoint(held_until(release)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         _, writer = await asyncio.open_connection(*sidecar.address)
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -16,7 +16,7 @@
 
 from anisespool.config import Address
 from anisespool.fleet.shared_state import encode_verdicts
-from anisespool.peers import QUIET_S, shared_id
+from anisespool.peers import LOG_INTERVAL_S, shared_id
 from anisespool.state import peer_lists
 from anisespool.state.learned_state import PIN, PIN_WRITE_INTERVAL_S, VERDICT
 from anisespool.state.store import now_ms, store_path
@@ -134,7 +134,7 @@
         assert set(asked) == {1, 2, 3}
         assert all(traces(server) for server in servers)
         assert "hearsay" not in it.log(0) and "ejected" not in it.log(0)
-        most = 1 + (loop.time() - began) / QUIET_S
+        most = 1 + (loop.time() - began) / LOG_INTERVAL_S
         assert 1 <= it.log(0).count("peers: ") <= most  # not one for each that was dropped
         for task in answering:
             task.cancel()
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -215,7 +215,7 @@
         for name, module in list(sys.modules.items()):
             if name.startswith("anisespool.discovery."):
                 for attribute, stand_in in (("time", SimpleNamespace(monotonic=loop.time)),
-                                            ("fault", lambda *_: None)):  # fmt: skip
+                                            ("log_error", lambda *_: None)):  # fmt: skip
                     if hasattr(module, attribute):
                         stack.enter_context(mock.patch.object(module, attribute, stand_in))
         stack.enter_context(mock.patch.object(stream, "open_channel", opening(discovery.connect)))
