--- a/anisespool/__main__.py
+++ b/anisespool/__main__.py
@@ -24,10 +24,11 @@
 async def run(
     config: Config,
     stop: asyncio.Event,
-    moves: asyncio.Queue[AddressChange],
+    address_changes: asyncio.Queue[AddressChange],
     on_listening: Callable[[Address], None],
 ) -> None:
-    await Service(config).run(stop, moves, on_listening)
+    """Run one sidecar until `stop` is set. `on_listening` gets the address for clients."""
+    await Service(config).run(stop, address_changes, on_listening)
 
 
 async def _until_signalled(config: Config) -> None:
@@ -38,7 +39,7 @@
     reload.request()  # covers a SIGHUP that arrived before its handler was installed
     following = loop.create_task(supervise("the configuration reader", reload.follow))
     try:
-        await run(config, stop, reload.moves, lambda address: None)
+        await run(config, stop, reload.address_changes, lambda address: None)
     finally:
         following.cancel()
 
@@ -57,6 +58,7 @@
 
 
 def main() -> int:
+    """Returns the exit status: 2 if the configuration is invalid."""
     try:
         config = load_with_retries(os.environ)
         asyncio.run(_until_signalled(config))
--- a/anisespool/admin.py
+++ b/anisespool/admin.py
@@ -19,9 +19,8 @@
 MAX_ACCEPTS_AT_ONCE = 4  # per event loop callback
 
 
-AdminCall = Callable[
-    [str], Awaitable[str]
-]  # takes the argument, "" for a call without one; returns the answer
+# Takes the argument, "" for a call without one; returns the answer.
+AdminCall = Callable[[str], Awaitable[str]]
 
 
 class AdminConnection(asyncio.Protocol):
@@ -71,6 +70,7 @@
         self._admin.ask(line, self.answer)
 
     def reject(self, why: str) -> None:
+        """Answer with FAILURE, unless a call has been received."""
         if not self.is_received:
             self.is_received = True
             self.answer(f"FAILURE {why}")
@@ -102,6 +102,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, listener: socket.socket) -> Address:
+        """Accept from this socket, which `close` closes. Returns its address."""
         self._listener = listener
         Acceptor(
             "admin", listener, ACCEPT_PAUSE_S, self._make_room, self._on_accepted, MAX_ACCEPTS_AT_ONCE
@@ -117,6 +118,7 @@
             connection.abort()
 
     def add(self, connection: AdminConnection) -> None:
+        """Register a connection; over MAX_CALLERS the oldest one is aborted."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CALLERS:
             oldest = next(iter(self.connections))
@@ -124,6 +126,7 @@
             oldest.abort()
 
     def ask(self, line: bytes, answer: Callable[[str], None]) -> None:
+        """Run the call in this line, and pass its answer to `answer`."""
         self._start(self._answer(line, answer))
 
     async def _answer(self, line: bytes, answer: Callable[[str], None]) -> None:
--- a/anisespool/admin_commands.py
+++ b/anisespool/admin_commands.py
@@ -12,7 +12,7 @@
 from anisespool.sidecar import Sidecar
 from anisespool.state.store import SCHEMA
 
-STATE_SHOWN = 20  # maximum server ids in an answer, to limit its length
+MAX_SHOWN_SERVERS = 20  # server ids in an answer, to limit its length
 
 
 class AdminCommands:
@@ -46,7 +46,7 @@
         if self._store is None or not self._store.is_open:
             raise NoStore("no state store")
         out = sorted(server for server, order in self._maintenance.orders.items() if order.out)
-        shown = " ".join(out[:STATE_SHOWN]) + (" ..." if len(out) > STATE_SHOWN else "")
+        shown = " ".join(out[:MAX_SHOWN_SERVERS]) + (" ..." if len(out) > MAX_SHOWN_SERVERS else "")
         return f"store {self._store.path.name} schema {SCHEMA}; {len(out)} out: {shown}".rstrip()
 
     async def _fleet_state(self, argument: str) -> str:
@@ -57,8 +57,8 @@
                  for name, n in self._config.names.tenants.items())  # fmt: skip
         ages = sorted(report.age_ns / 1e9 for report in shared.reports[1:])
         oldest = f", the oldest {ages[-1]:.2f} s" if ages else ""
-        out = sorted(self._sidecar.servers.ids_of(verdict.endpoint for verdict in shared.ejected))
-        shown = " ".join(out[:STATE_SHOWN]) + (" ..." if len(out) > STATE_SHOWN else "")
+        out = sorted(self._sidecar.servers.ids_of(ejection.endpoint for ejection in shared.ejected))
+        shown = " ".join(out[:MAX_SHOWN_SERVERS]) + (" ..." if len(out) > MAX_SHOWN_SERVERS else "")
         return f"{', '.join(rates)}; {len(ages)} reports{oldest}; {len(out)} ejected: {shown}".rstrip()
 
     def on_orders(self, servers: Iterable[str]) -> None:
--- a/anisespool/body_stream.py
+++ b/anisespool/body_stream.py
@@ -37,6 +37,7 @@
     # Called by the source -------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
+        """Part of the body has arrived."""
         if self._sink:
             self._sink.stream_data(data)
         elif not self._discarded:
--- a/anisespool/clock.py
+++ b/anisespool/clock.py
@@ -43,6 +43,7 @@
         self.is_resumed = False
 
     def unix_ms(self) -> int:
+        """Unix time by this clock."""
         return (time.monotonic_ns() + self.epoch_ns) // 1_000_000
 
     def resume_from(self, epochs_ns: Iterable[int]) -> None:
--- a/anisespool/config.py
+++ b/anisespool/config.py
@@ -28,6 +28,8 @@
 
 @dataclass(frozen=True)
 class Config:
+    """The configuration of one sidecar process."""
+
     name: str
     listen: Address
     discovery: Address
--- a/anisespool/decision_queue.py
+++ b/anisespool/decision_queue.py
@@ -32,7 +32,7 @@
         on_module_error: Callable[[int], None],
     ) -> None:
         """`on_handled`: called once an event's actions are performed. `on_module_error`: called with the
-        request whose event raised in the module; the module makes no further decisions for it."""
+        request whose event raised an exception in the module, which makes no further decisions for it."""
         self.module = module
         self.actions: dict[type, ActionHandler] = {}  # handler by action type; other types are ignored
         self._on_handled, self._on_module_error = on_handled, on_module_error
--- a/anisespool/discovery/channel.py
+++ b/anisespool/discovery/channel.py
@@ -14,6 +14,8 @@
 
 
 class Channel(asyncio.Protocol):
+    """One connection to discovery."""
+
     def __init__(self, on_data: Callable[[bytes], None]) -> None:
         """`on_data` receives all data in order. An exception that it raises closes the connection."""
         self._on_data = on_data
--- a/anisespool/discovery/clock.py
+++ b/anisespool/discovery/clock.py
@@ -1,4 +1,4 @@
-"""When to call discovery: random delays that spread the calls of a fleet, time-outs, and when a watch counts
+"""When to call discovery: random delays that spread the calls of a fleet, timeouts, and when a watch counts
 as silent. No I/O.
 
 The schedule has to meet two limits. Every sidecar must have an up-to-date list by its deadline
@@ -6,7 +6,7 @@
 discovery serves few calls per second (some 80 for 200 sidecars, 3 for 5): a call that waits longer than
 QUEUE_TIMEOUT_S in its queue is answered 503, which costs discovery work for nothing.
 
-So calls are spread over the fleet by random delays, and every delay, pause and time-out is shortened so that
+So calls are spread over the fleet by random delays, and every delay, pause and timeout is shortened so that
 one more call fits before the deadline, including its wait in the queue (NEXT_CALL_RESERVE_S). There are two
 exceptions. A call is not abandoned before its maximum wait in the queue has passed. And a pause is not
 shortened so far that calls begin closer together than the pause drawn or, unless the call hung, below
@@ -66,6 +66,7 @@
         return random.uniform(0.0, self._start_spread_s) if has_list else 0.0
 
     def address_changed(self, now_s: float) -> None:
+        """Discovery's address was changed by a SIGHUP at `now_s`."""
         self._deadline.address_changed(now_s)
 
     def address_change_delay(self, now_s: float) -> float:
@@ -85,6 +86,7 @@
         return self._renewal_s
 
     def silent_for(self, now_s: float) -> float:
+        """Seconds since the last line of the watch."""
         return now_s - self._last_line_s
 
     def watch_ended(self, now_s: float) -> float:
--- a/anisespool/discovery/deadline.py
+++ b/anisespool/discovery/deadline.py
@@ -4,7 +4,7 @@
 A sidecar must apply a change within UPDATE_DEADLINE_S of the moment at which discovery has it and is
 reachable, whatever has failed meanwhile, and within ADDRESS_CHANGE_DEADLINE_S of a SIGHUP that changes
 discovery's address. The deadline starts with the event after which the list may be out of date. All
-time-outs, pauses and random delays before the next complete line are limited by it (`clock.py`). How a failed
+timeouts, pauses and random delays before the next complete line are limited by it (`clock.py`). How a failed
 call moves the deadline depends on what the failure shows about discovery.
 """
 
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -73,16 +73,16 @@
             if stream:
                 stream.read_pending()
 
-    async def follow(self, changes: asyncio.Queue[AddressChange]) -> None:
+    async def follow(self, address_changes: asyncio.Queue[AddressChange]) -> None:
         """Watches until cancelled, always at the latest address. An error in either task ends both, so that
         the caller can start again."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.run(self.start_delay_s))
-            tasks.create_task(self._follow_address_changes(changes))
+            tasks.create_task(self._follow_address_changes(address_changes))
 
-    async def _follow_address_changes(self, changes: asyncio.Queue[AddressChange]) -> None:
+    async def _follow_address_changes(self, address_changes: asyncio.Queue[AddressChange]) -> None:
         while True:
-            change = await changes.get()
+            change = await address_changes.get()
             self.address = change.address
             log_info("discovery", "address changed to {}:{}".format(*self.address))
             self._schedule.address_changed(change.requested_s)
@@ -137,8 +137,7 @@
         self._calls.clear()
 
     async def _await_result(self, call: Stream) -> CallFailure | None:
-        """How the call has failed. None if any call has received a complete line, or the address has
-        changed."""
+        """How the call has failed. None if any call has received a complete line or the address changed."""
         while call in self._calls and not self._address_changed.is_set():
             now_s = time.monotonic()
             if call.ended:
@@ -173,7 +172,7 @@
             await self._await_change(self._schedule.renewal_at() - now_s)
 
     async def _await_change(self, timeout_s: float) -> None:
-        """Waits for a change of state after the caller's last check, or for the time-out."""
+        """Waits for a change of state after the caller's last check, or for the timeout."""
         self._changed.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
@@ -244,8 +243,7 @@
         self.list_received.set()
 
     def _apply_valid_entries(self, raw: dict[str, Any], stream: Stream) -> None:
-        """Applies the valid entries of an object, such as a server that drains. The revision is unchanged, so
-        that the next call requests the others again."""
+        """Applies the valid entries of an object. The revision stays: the next call requests the others."""
         with suppress(ValueError):
             update = self._names.valid_changes(raw)._replace(source=stream.address_text)
             if not stream.since <= update.revision < self.revision:
--- a/anisespool/endpoints/attempt.py
+++ b/anisespool/endpoints/attempt.py
@@ -82,6 +82,7 @@
         self.on_upload(self)
 
     def upload_finished(self) -> None:
+        """Resumes the deadline, with the time that was left when the upload started."""
         self.started_ns = time.monotonic_ns()
         self.deadline_ns += self.started_ns
         if self._end_ns is not None:
@@ -116,7 +117,7 @@
             self.on_end(self)
 
     def abort(self, status: Status) -> None:
-        """Aborts the attempt with `status`. A time-out before the request was wholly sent becomes
+        """Aborts the attempt with `status`. A timeout before the request was wholly sent becomes
         CONNECT_FAILED, as the request cannot have run."""
         if self.status is not None:
             return
--- a/anisespool/endpoints/connection.py
+++ b/anisespool/endpoints/connection.py
@@ -82,7 +82,7 @@
         assert self._transport
         self._attempt, attempt.connection = attempt, self
         self._parser = http1.ResponseParser(
-            on_flow=self._start_streaming, is_head_response=attempt.request.method == b"HEAD"
+            open_body_stream=self._start_streaming, is_head_response=attempt.request.method == b"HEAD"
         )
         self._request_count, self._response_bytes = self._request_count + 1, 0
         self._transport.write(data)
@@ -94,7 +94,7 @@
             attempt.upload_started()
             self._upload.attach(self)
 
-    # The streamed request body, as a sink of its Flow -----------------------------------------------
+    # The streamed request body, as the sink of its BodyStream -----------------------------------------------
 
     def stream_data(self, data: bytes) -> None:
         """Part of the request body, sent as a chunk if the length is not known."""
@@ -149,7 +149,7 @@
 
     def close_idle_if_silent(self, since_ns: int) -> None:
         """Closes the idle connections if the endpoint has sent nothing since `since_ns`. A failed host leaves
-        them open: a request written to one ends in a time-out, or in a reset once the host is back, and if
+        them open: a request written to one ends in a timeout, or in a reset once the host is back, and if
         not idempotent cannot be retried. A new connection that fails proves that nothing ran."""
         if self._pool.last_received_ns < since_ns:
             self._pool.close_idle()
--- a/anisespool/endpoints/endpoints.py
+++ b/anisespool/endpoints/endpoints.py
@@ -22,13 +22,15 @@
 # full keep-alive, and a request sent at that moment ends in a reset.
 KEEPALIVE_SHARE = 0.75
 MAX_IDLE_PER_ENDPOINT = 48  # connections
-SWEEP_S = 1.0  # interval of the checks for expired and stalled connections
+SWEEP_INTERVAL_S = 1.0  # interval of the checks for expired and stalled connections
 LOG_INTERVAL_S = 0.5  # minimum between two log lines on failed connections
 SHORTAGE_PAUSE_S = 0.02  # between attempts to connect while this host has no descriptor, port or buffer left
 STALL_S = 10.0  # without progress of a streamed body, before the attempt ends; pauses of seconds are normal
 
 
 class Endpoints:
+    """The pools by endpoint number."""
+
     def __init__(
         self,
         report_columns: tuple[str, ...],
@@ -76,6 +78,7 @@
         log_info("traffic", "; ".join(rows))
 
     def log_failure(self, text: str) -> None:
+        """Logs a broken connection, at most one line per LOG_INTERVAL_S."""
         if self._may_log():
             log_info("broken", text)
 
@@ -103,6 +106,7 @@
         self._pools[number] = Pool(name, address, started_ns, accepts_requests)
 
     def remove(self, number: int) -> None:
+        """Closes a removed endpoint to new requests, see Pool.retire."""
         if pool := self._pools.pop(number, None):
             pool.retire()
 
@@ -135,9 +139,7 @@
         try:
             connection = await self._connect(pool, attempt)
         except OSError as error:
-            if is_local_shortage(
-                error
-            ):  # the fault is in this host, not the server, and the request did not run
+            if is_local_shortage(error):  # the fault is in this host, and the request did not run
                 failure_status = Status.MOOT
         except ValueError:  # invalid host name or port
             pass
@@ -155,7 +157,7 @@
             self.release(connection, pool)
 
     async def _connect(self, pool: Pool, attempt: Attempt) -> PooledConnection:
-        """Opens a connection for this attempt; raises OSError on failure or after the connect time-out. While
+        """Opens a connection for this attempt; raises OSError on failure or after the connect timeout. While
         this host has no descriptor, port or buffer left, it retries, or takes an idle connection regardless
         of REUSE_DELAY_S."""
         loop = asyncio.get_running_loop()
@@ -235,7 +237,7 @@
     async def sweep(self) -> None:
         """Periodically closes expired idle connections, and ends attempts whose streamed body has stalled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             oldest = time.monotonic() - self._max_idle_s
             for pool in self._active:
                 while pool.idle and pool.idle[0].idle_since < oldest:
--- a/anisespool/endpoints/pool.py
+++ b/anisespool/endpoints/pool.py
@@ -25,6 +25,8 @@
 
 
 class Pool:
+    """The connections to one endpoint, and its counters."""
+
     def __init__(self, name: str, address: Address, started_ns: int, accepts_requests: bool) -> None:
         self.name, self.address = name, address
         self.started_ns, self.accepts_requests = started_ns, accepts_requests
--- a/anisespool/exchange.py
+++ b/anisespool/exchange.py
@@ -100,12 +100,12 @@
         at_s = (due_ns - DEADLINE_MARGIN_NS) / 1e9
         self._deadline_timer = asyncio.get_running_loop().call_at(at_s, self._on_deadline)
 
-    def cap(self, end_ns: int) -> None:
+    def limit_deadlines(self, end_ns: int) -> None:
         """The process is shutting down: limit the request and its attempts to `end_ns`, monotonic."""
         self._end_ns = end_ns
         self.deadline_ns = min(self.deadline_ns, end_ns - ANSWER_RESERVE_NS)
         for attempt in self.attempts:
-            self.cap_attempt(attempt)
+            self.limit_attempt(attempt)
         if (
             self._deadline_timer
             and not self._deadline_timer.cancelled()
@@ -114,7 +114,7 @@
             self.cancel_deadline_timer()
             self._schedule_deadline_timer(end_ns)
 
-    def cap_attempt(self, attempt: Attempt) -> None:
+    def limit_attempt(self, attempt: Attempt) -> None:
         """Limit an attempt to the end of the process, if the process is shutting down."""
         if self._end_ns is not None:
             attempt.limit_deadline(self._end_ns - ANSWER_RESERVE_NS)
--- a/anisespool/external_state.py
+++ b/anisespool/external_state.py
@@ -9,13 +9,14 @@
 from anisespool.log import log_info
 from anisespool.peers import Peers
 from anisespool.servers import Servers, abbreviate
-from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow, VerdictRow
+from anisespool.state.persisted_rows import EjectionRow, LearnedRow, PersistedState, PinRow
 from anisespool.state.records import now_ms
 from shuntlead import interface as api
 
 
 class ExternalState:
-    """Maps server ids to endpoint numbers and back, for events from outside and actions of the module."""
+    """Maps server ids to endpoint numbers and back, for events from outside and actions of the decision
+    module."""
 
     def __init__(
         self,
@@ -29,27 +30,27 @@
         self.peers: Peers | None = None  # None: no messages between sidecars
         self.on_reports: Callable[[int, tuple[api.TenantReport, ...]], None] = lambda peer, reports: None
         self._shared_reports = api.ShareReports((), (), (), ())
-        self._remembered = PersistedState((), ())
-        # Called whenever the module sends its state, not only for `snapshot`, so that no verdict is lost.
-        self.on_remember: Callable[[], None] = lambda: None
+        self._last_snapshot = PersistedState((), ())
+        # Called for every Snapshot action, also without a call of `snapshot`, so that no ejection is lost.
+        self.on_snapshot: Callable[[], None] = lambda: None
         self.on_pin: Callable[[PinRow], None] = lambda row: None
-        self.on_verdicts: Callable[[int, Sequence[api.Ejection]], None] = lambda peer, rows: None
+        self.on_ejections: Callable[[int, Sequence[api.Ejection]], None] = lambda peer, rows: None
         self.actions: dict[type, Callable[..., None]] = {
-            api.SendToPeer: self._tell, api.SendEjections: self._tell_verdicts, api.Snapshot: self._remember,
-            api.SavePin: self._pin, api.SendReports: self._tell_reports,
+            api.SendToPeer: self._send_observations, api.SendEjections: self._send_ejections,
+            api.Snapshot: self._save_snapshot, api.SavePin: self._pin, api.SendReports: self._send_reports,
             api.ShareReports: self._share_reports}  # fmt: skip
 
     # Other sidecars -------------------------------------------------------------------------------
 
-    def _tell(self, action: api.SendToPeer) -> None:
+    def _send_observations(self, action: api.SendToPeer) -> None:
         if self.peers:
             translated = (
                 s._replace(endpoint=self.servers.shared_ids[s.endpoint]) for s in action.observations
             )
-            self.peers.send_sightings(action.peer, action.pressure, tuple(translated))
+            self.peers.send_observations(action.peer, action.pressure, tuple(translated))
 
     def on_peer_message(self, message: api.PeerMessage) -> None:
-        """A peer's load and its observations of servers, by shared ids."""
+        """A peer's overload pressure and its observations of servers, by shared ids."""
         known = self.servers.number_by_shared_id
         translated = tuple(
             s._replace(endpoint=known[s.endpoint]) for s in message.observations if s.endpoint in known
@@ -79,21 +80,21 @@
         log_info("hearsay", f"{left}: list {revision} of sidecar {sender} against {servers.revision} here "
             f"changes {abbreviate(changed)}")  # fmt: skip
 
-    def on_peer_verdicts(self, sender: int, rows: Iterable[api.Ejection]) -> None:
+    def on_peer_ejections(self, sender: int, rows: Iterable[api.Ejection]) -> None:
         """The servers that a peer has ejected, by shared ids."""
         known = self.servers.number_by_shared_id
         translated = tuple(v._replace(endpoint=known[v.endpoint]) for v in rows if v.endpoint in known)
         self._handle(api.PeerEjections(sender, translated))
 
     def on_peer_query(self, peer: int, observations: bool) -> None:
-        """A starting peer asks for the servers ejected here, and with `observations` also for their observed
-        load."""
+        """A starting peer asks for the servers ejected here, and with `observations` also for what was
+        observed of servers."""
         self._handle(api.PeerStarted(peer, observations))
 
-    def _tell_verdicts(self, action: api.SendEjections) -> None:
+    def _send_ejections(self, action: api.SendEjections) -> None:
         shared = self.servers.shared_ids
         rows = [v._replace(endpoint=shared[v.endpoint]) for v in action.ejections if v.endpoint in shared]
-        self.on_verdicts(action.peer, rows)
+        self.on_ejections(action.peer, rows)
 
     def on_tenant_reports(self, reports: tuple[api.TenantReport, ...]) -> None:
         """The request rates of tenants at other sidecars."""
@@ -104,11 +105,11 @@
         self._handle(api.OtherProcessRates(left_ns, rates))
 
     def share_reports(self) -> api.ShareReports:
-        """Ask the module for the request rates of tenants across the fleet, and the ejected servers."""
+        """Ask the decision module for the tenants' rates across the fleet, and the ejected servers."""
         self._handle(api.TakeReports())
         return self._shared_reports
 
-    def _tell_reports(self, action: api.SendReports) -> None:
+    def _send_reports(self, action: api.SendReports) -> None:
         self.on_reports(action.peer, action.reports)
 
     def _share_reports(self, action: api.ShareReports) -> None:
@@ -117,32 +118,32 @@
     # State kept for the next process --------------------------------------------------------------
 
     def snapshot(self) -> PersistedState:
-        """Ask the module for the state that the next process should start with."""
+        """Ask the decision module for the state that the next process should start with."""
         self._handle(api.TakeSnapshot())
-        return self._remembered
+        return self._last_snapshot
 
-    def recall(self, remembered: PersistedState, pins: Sequence[PinRow]) -> None:
+    def restore(self, state: PersistedState, pins: Sequence[PinRow]) -> None:
         """Restore the state of an earlier process, for the servers that are listed now."""
         now, known = now_ms(), self.servers.numbers
         self._handle(
             api.Restore(
                 tuple(api.Observation(known[r.server], r.slow, r.queue, max(0, now - r.at_ms) * 1_000_000)
-                      for r in remembered.learned if r.server in known),
+                      for r in state.learned if r.server in known),
                 tuple(api.Ejection(known[r.server], (r.until_ms - now) * 1_000_000, r.reason)
-                      for r in remembered.ejections if r.server in known and r.until_ms > now),
+                      for r in state.ejections if r.server in known and r.until_ms > now),
                 tuple(api.KeyPin(*r[:4], (r.until_ms - now) * 1_000_000) for r in pins),
             )
         )  # fmt: skip
 
-    def _remember(self, action: api.Snapshot) -> None:
+    def _save_snapshot(self, action: api.Snapshot) -> None:
         now, ids = now_ms(), self.servers.ids
-        self._remembered = PersistedState(
+        self._last_snapshot = PersistedState(
             [LearnedRow(ids[s.endpoint], s.slowdown, s.queue, now - s.age_ns // 1_000_000)
              for s in action.observations if s.endpoint in ids],
-            [VerdictRow(ids[v.endpoint], now + v.left_ns // 1_000_000, v.reason)
+            [EjectionRow(ids[v.endpoint], now + v.left_ns // 1_000_000, v.reason)
              for v in action.ejections if v.endpoint in ids],
         )  # fmt: skip
-        self.on_remember()
+        self.on_snapshot()
 
     def _pin(self, action: api.SavePin) -> None:
         until_ms = now_ms() + action.pinned.left_ns // 1_000_000
--- a/anisespool/fleet/clock_offsets.py
+++ b/anisespool/fleet/clock_offsets.py
@@ -15,10 +15,8 @@
 from shuntlead.quotas import REPORT_LIFETIME_NS
 
 SETTLE_S = 2.0
-EARLY_MS, LATE_MS = (
-    1_000,
-    REPORT_LIFETIME_NS // 1_000_000,
-)  # bounds if the clocks agree; a later report is ignored
+# Bounds if the clocks agree; a later report is ignored.
+EARLY_MS, LATE_MS = 1_000, REPORT_LIFETIME_NS // 1_000_000
 HALF_RANGE_MS = 1 << 30  # timestamps wrap around: they are unambiguous within this distance of now
 
 
--- a/anisespool/fleet/shared_state.py
+++ b/anisespool/fleet/shared_state.py
@@ -1,5 +1,5 @@
-"""Sends and receives the state that sidecars share by datagrams: tenants' request rates, and verdicts, which
-name the servers that a sidecar has ejected. How they are used is decided in shuntlead/quotas.py and
+"""Sends and receives the state that sidecars share by datagrams: tenants' request rates, and ejections of
+servers. How they are used is decided in shuntlead/quotas.py and
 shuntlead/outliers.py; docs/fleet-state.md lists the limits."""
 
 from __future__ import annotations
@@ -26,36 +26,36 @@
     return CLOCK.unix_ms()
 
 
-def encode_verdicts(rows: Sequence[Ejection]) -> list[bytes]:
-    """The datagrams that tell peers which servers are ejected, identified by shared ids."""
+def encode_ejections(rows: Sequence[Ejection]) -> list[bytes]:
+    """The datagrams with the ejected servers, identified by shared ids."""
     packed = [_EJECTION.pack(v.endpoint, max(1, min(255, v.left_ns // LEFT_UNIT_NS)), v.reason) for v in rows]
     return [EJECTIONS + b"".join(packed[n : n + MAX_EJECTIONS]) for n in range(0, len(packed), MAX_EJECTIONS)]
 
 
 class FleetState:
-    """Passes what peers send about tenants and servers to the balancing module (shuntlead), and sends peers
-    what it decides to share."""
+    """Passes what peers send about tenants and servers to the decision module, and sends peers what it
+    decides to share."""
 
     def __init__(self, peers: Peers, external: ExternalState) -> None:
         self._peers, self._external, self._offsets = peers, external, ClockOffsets()
-        peers.register_handler(EJECTIONS, self._on_verdicts)
+        peers.register_handler(EJECTIONS, self._on_ejections)
         peers.register_handler(RATES, self._on_rates)
-        external.on_verdicts, external.on_reports = self._send_verdicts, self._send_rates
+        external.on_ejections, external.on_reports = self._send_ejections, self._send_rates
 
-    def _send_verdicts(self, peer: int, rows: Sequence[Ejection]) -> None:
-        for data in encode_verdicts(rows):
+    def _send_ejections(self, peer: int, rows: Sequence[Ejection]) -> None:
+        for data in encode_ejections(rows):
             self._peers.send(peer, data)
 
     def _send_rates(self, peer: int, reports: tuple[TenantReport, ...]) -> None:
         self._peers.send(peer, RATES + encode_reports(reports, clock_ms()))
 
-    def _on_verdicts(self, sender: int, data: bytes) -> bool:
+    def _on_ejections(self, sender: int, data: bytes) -> bool:
         if not data or len(data) % _EJECTION.size:
             return False
         rows = [Ejection(n, left * LEFT_UNIT_NS, Status(status))
                 for n, left, status in _EJECTION.iter_unpack(data)
                 if status in Status._value2member_map_]  # fmt: skip
-        self._external.on_peer_verdicts(sender, rows)
+        self._external.on_peer_ejections(sender, rows)
         return True
 
     def _on_rates(self, sender: int, data: bytes) -> bool:
--- a/anisespool/fleet/upgrade_rates.py
+++ b/anisespool/fleet/upgrade_rates.py
@@ -21,7 +21,8 @@
 
 
 class UpgradeRates:
-    """Writes this process's rates to the store and passes those of the other process to the module."""
+    """Writes this process's rates to the store and passes those of the other process to the decision
+    module."""
 
     def __init__(self, store: Store, external: ExternalState) -> None:
         self._store, self._external = store, external
--- a/anisespool/front/client_connection.py
+++ b/anisespool/front/client_connection.py
@@ -43,6 +43,7 @@
         return Stage.BETWEEN_REQUESTS if self._has_served else Stage.SILENT
 
     def close_if_idle(self) -> None:
+        """Close the connection if no request is in progress, queued or unread."""
         if self.is_idle and self._transport and not self.has_unread():
             self._closing = True
             self._transport.close()
--- a/anisespool/front/listener.py
+++ b/anisespool/front/listener.py
@@ -28,6 +28,7 @@
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
+    """A listening TCP socket at this address. Raises OSError."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/anisespool/front/request_decoding.py
+++ b/anisespool/front/request_decoding.py
@@ -1,4 +1,4 @@
-"""Validates a client's HTTP request, and converts it to the `Call` that the balancer works on."""
+"""Validates a client's HTTP request, and converts it to a `Call` for the driver (`Sidecar`)."""
 
 from __future__ import annotations
 
--- a/anisespool/front/response_writer.py
+++ b/anisespool/front/response_writer.py
@@ -25,12 +25,12 @@
         self._on_end, self._on_broken, self._on_release = on_end, on_broken, on_release
         self.transport: asyncio.Transport | None = None
         self.client_stalled = False  # the write buffer is full, as the client reads too slowly
-        self._flow: BodyStream | None = None  # the rest of the current response
+        self._body_stream: BodyStream | None = None  # the rest of the current response
         self._chunked = False
 
     @property
     def is_streaming(self) -> bool:
-        return self._flow is not None
+        return self._body_stream is not None
 
     @property
     def unsent_bytes(self) -> int:
@@ -41,13 +41,13 @@
         """Pause the source of the response. Otherwise a client that keeps sending requests without reading
         the responses would exhaust memory."""
         self.client_stalled = True
-        if self._flow:
-            self._flow.pause()
+        if self._body_stream:
+            self._body_stream.pause()
 
     def resume(self) -> None:
         self.client_stalled = False
-        if self._flow:
-            self._flow.resume()
+        if self._body_stream:
+            self._body_stream.resume()
 
     def start(self, body_stream: BodyStream, keep_alive: bool, chunked: bool, high_water_bytes: int) -> None:
         """Write the response head, and pass the body on from `body_stream`. `high_water_bytes`: how much is
@@ -56,16 +56,16 @@
         self.transport.write(http1.encode_head(200, body_stream.length, 0.0, not keep_alive, chunked))
         self.transport.set_write_buffer_limits(high=high_water_bytes)
         set_option(self.transport, socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        self._flow, self._chunked = body_stream, chunked and body_stream.length is None
+        self._body_stream, self._chunked = body_stream, chunked and body_stream.length is None
         body_stream.attach(self)
 
     def stream_data(self, data: bytes) -> None:
         """Nothing is written to a closing transport: asyncio logs every such write, and a single read from
         the endpoint may yield thousands of chunks."""
-        if self.transport and self._flow and not self.transport.is_closing():
+        if self.transport and self._body_stream and not self.transport.is_closing():
             self.transport.write(http1.encode_chunk(data) if self._chunked else data)
             if self.client_stalled:
-                self._flow.pause()
+                self._body_stream.pause()
 
     def stream_end(self) -> None:
         assert self.transport
@@ -79,7 +79,7 @@
 
     def release(self) -> None:
         """Stop streaming, and discard what is left of the source."""
-        body_stream, self._flow = self._flow, None
+        body_stream, self._body_stream = self._body_stream, None
         self._on_release()
         if body_stream:
             body_stream.discard()
--- a/anisespool/front/server.py
+++ b/anisespool/front/server.py
@@ -179,7 +179,7 @@
 
     async def stop(self, shutdown: Shutdown) -> None:
         """Run the shutdown: keep accepting for a while, and close each connection as its stage's time runs
-        out. Every request read meanwhile is answered, as the driver caps deadlines by the same schedule."""
+        out. Every request read meanwhile is answered, as the driver limits deadlines by the same schedule."""
         self._shutdown = shutdown
         if self._shares_listener:  # the other process accepts what is in its queue
             self._close_listener()
--- a/anisespool/front/shutdown.py
+++ b/anisespool/front/shutdown.py
@@ -2,7 +2,7 @@
 
 The platform sends SIGTERM and, no sooner than KILL_GRACE_NS after the longest deadline, SIGKILL. A request
 that arrived late and is unanswered by then is lost. The schedule is fixed at SIGTERM and bounds everything:
-the driver caps all deadlines by `answer_by_ns`, and the server closes connections at `stage_deadline_ns`.
+the driver limits all deadlines to `answer_by_ns`, and the server closes connections at `stage_deadline_ns`.
 
 All times are nanoseconds of the monotonic clock. This module does no I/O.
 """
--- a/anisespool/http1/request_parser.py
+++ b/anisespool/http1/request_parser.py
@@ -21,19 +21,20 @@
 
 
 class RequestParser:
-    """An incremental parser: complete requests, or requests with a flow if the body is too long to buffer.
-    Once `error` (the status to respond with) is set, nothing more can be parsed from the connection."""
+    """An incremental parser. It yields complete requests, and requests with a `body_stream` where the body is
+    too long to buffer. Once `error` (the status to respond with) is set, nothing more can be parsed from the
+    connection."""
 
     def __init__(
         self, pause: Callable[[], None] = lambda: None, resume: Callable[[], None] = lambda: None
     ) -> None:
-        """`pause` and `resume` control reading from the client, when the consumer of a flow is too slow."""
+        """`pause` and `resume` control reading from the client, when the sink of a body is too slow."""
         self.error = 0
         self.wants_continue = False
         self.body_bytes = 0  # received of the current request's body
         self._pause, self._resume = pause, resume
         self._completed: list[Request] = []
-        self._flow: BodyStream | None = None
+        self._body_stream: BodyStream | None = None
         self._parser = httptools.HttpRequestParser(self)
         self.on_message_begin()
 
@@ -53,20 +54,20 @@
                 self._parser.feed_data(data)
             except httptools.HttpParserError:  # also raised for an upgrade, as none is supported
                 self.error = self.error or HTTPStatus.BAD_REQUEST
-        if self.error and self._flow:
-            self._flow.fail()
+        if self.error and self._body_stream:
+            self._body_stream.fail()
         completed, self._completed = self._completed, []
         return completed
 
     def close(self) -> None:
         """No more bytes will be fed."""
         del self._parser
-        if self._flow:
-            self._flow.fail()
+        if self._body_stream:
+            self._body_stream.fail()
 
     def on_message_begin(self) -> None:
         self._target, self._message, self._started = b"", PartialMessage(), False
-        self.body_bytes, self._flow = 0, None
+        self.body_bytes, self._body_stream = 0, None
 
     def on_url(self, url: bytes) -> None:
         self._started = True
@@ -98,19 +99,19 @@
             return
         if self.body_bytes > MAX_STREAMED_BODY_BYTES:
             self.error = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
-        elif self._flow:
-            self._flow.feed(data)
+        elif self._body_stream:
+            self._body_stream.feed(data)
         else:
             self._message.body.append(data)
             if self.body_bytes > MAX_BUFFERED_BODY_BYTES:
                 self._start_streaming(None)
 
     def _start_streaming(self, length: int | None) -> None:
-        self._flow = BodyStream(length, self._pause, self._resume)
+        self._body_stream = BodyStream(length, self._pause, self._resume)
         for data in self._message.body:
-            self._flow.feed(data)
+            self._body_stream.feed(data)
         self._message.body.clear()
-        self._completed.append(self._request(b"", self._flow))
+        self._completed.append(self._request(b"", self._body_stream))
 
     def _request(self, body: bytes, body_stream: BodyStream | None = None) -> Request:
         parser = self._parser
@@ -125,9 +126,9 @@
 
     def on_message_complete(self) -> None:
         self._started = self.wants_continue = False
-        body_stream, self._flow = self._flow, None
+        body_stream, self._body_stream = self._body_stream, None
         if self.error:
-            self._flow = body_stream  # `feed` calls its fail()
+            self._body_stream = body_stream  # `feed` calls its fail()
         elif body_stream:
             body_stream.end()
         else:
--- a/anisespool/http1/response_parser.py
+++ b/anisespool/http1/response_parser.py
@@ -13,21 +13,25 @@
 
 class ResponseParser:
     """An incremental parser for one response. The body is buffered, passed to a callback as it arrives (the
-    watch stream of discovery), or streamed as a flow if it is too long to buffer."""
+    watch stream of discovery), or streamed if it is too long to buffer."""
 
     def __init__(
         self,
         on_body: Callable[[bytes], None] | None = None,
-        on_flow: Callable[[], BodyStream] | None = None,
+        open_body_stream: Callable[[], BodyStream] | None = None,
         is_head_response: bool = False,
     ) -> None:
-        """`on_flow`: provides the flow for a body that is to be streamed. `is_head_response`: the response to
-        a HEAD request, whose headers describe a body that is not sent."""
+        """`open_body_stream`: provides the stream for a body that is too long to buffer.
+        `is_head_response`: the response to a HEAD request, whose headers describe a body that is not sent."""
         self.response: Response | None = None
         self.status = 0  # 0 until the headers are complete
         self.broken = False
         self.body_stream: BodyStream | None = None
-        self._on_body, self._on_flow, self._is_head_response = on_body, on_flow, is_head_response
+        self._on_body, self._open_body_stream, self._is_head_response = (
+            on_body,
+            open_body_stream,
+            is_head_response,
+        )
         self._parser = httptools.HttpResponseParser(self)
         self._message = PartialMessage()
 
@@ -63,8 +67,8 @@
 
     def start_streaming(self) -> None:
         """Stop buffering the body, and pass on what has been received, whatever its length."""
-        if self._on_flow and self.body_stream is None and self.response is None:
-            self.body_stream = self._on_flow()
+        if self._open_body_stream and self.body_stream is None and self.response is None:
+            self.body_stream = self._open_body_stream()
             for data in self._message.body:
                 self.body_stream.feed(data)
             self._message.body.clear()
--- a/anisespool/list_updater.py
+++ b/anisespool/list_updater.py
@@ -16,6 +16,8 @@
 
 
 class ListUpdater:
+    """Keeps the connections and the balancer in step with the list in use."""
+
     def __init__(self, servers: Servers, decision_queue: DecisionQueue, endpoints: Endpoints) -> None:
         self.servers, self.decision_queue, self._endpoints = servers, decision_queue, endpoints
         self.read_pending: Callable[[], object] = lambda: None  # reads pending data from discovery
--- a/anisespool/maintenance.py
+++ b/anisespool/maintenance.py
@@ -49,6 +49,7 @@
 
     @staticmethod
     def legacy_path(folder: Path | None, name: str) -> Path | None:
+        """The orders file of earlier releases; None without a folder."""
         return folder / f"anisespool-{quote(name, safe='')}.json" if folder else None
 
     async def load(self) -> None:
--- a/anisespool/member_list.py
+++ b/anisespool/member_list.py
@@ -15,11 +15,14 @@
 
 
 class Address(NamedTuple):
+    """A host and a TCP or UDP port."""
+
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: Any) -> Address:
+        """Raises ValueError unless `text` is a valid host:port."""
         host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
         if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
             raise ValueError(f"{text!r} is not a valid host:port")
@@ -37,6 +40,8 @@
 
 
 class MemberList(NamedTuple):
+    """A list of servers of one revision, or the changes up to that revision."""
+
     revision: int
     complete: bool  # whether it is the whole list; otherwise only the entries that have changed
     members: tuple[Member, ...]
--- a/anisespool/peers.py
+++ b/anisespool/peers.py
@@ -23,8 +23,8 @@
 
 
 def shared_id(member_id: str) -> int:
-    """A server's number in datagrams: the same at every sidecar, unlike the endpoint numbers of the
-    module."""
+    """A server's number in datagrams: the same at every sidecar, unlike its endpoint number, which
+    each sidecar assigns itself."""
     return int.from_bytes(hashlib.blake2b(member_id.encode(), digest_size=4).digest(), "big")
 
 
@@ -84,7 +84,9 @@
         if to is not None:
             self._send(data, to)
 
-    def send_sightings(self, peer: int, pressure: float, observations: tuple[api.Observation, ...]) -> None:
+    def send_observations(
+        self, peer: int, pressure: float, observations: tuple[api.Observation, ...]
+    ) -> None:
         """Send how loaded the endpoints are overall (`pressure`, 0 to 1) and the observations of single
         servers to one sidecar by its number, or to all (-1)."""
         self.send(peer, FORMAT_VERSION + encode_peer_message(pressure, observations))
--- a/anisespool/reload.py
+++ b/anisespool/reload.py
@@ -16,11 +16,12 @@
 
 
 class ConfigReloader:
-    """Reads the file on request, and passes each new address to the discovery watch through `moves`."""
+    """Reads the file on request, and passes each new address to the discovery watch through
+    `address_changes`."""
 
     def __init__(self, env: Mapping[str, str], config: Config) -> None:
         """`config`: the configuration that the process started with."""
-        self.moves = asyncio.Queue[AddressChange]()  # read by the discovery watch
+        self.address_changes = asyncio.Queue[AddressChange]()  # read by the discovery watch
         self._env, self._discovery = env, config.discovery
         self._requested = asyncio.Event()
         self._requested_s = 0.0  # monotonic seconds
@@ -46,7 +47,7 @@
 
     def _emit(self, address: Address) -> None:
         self._discovery = address
-        self.moves.put_nowait(AddressChange(address, self._requested_s))
+        self.address_changes.put_nowait(AddressChange(address, self._requested_s))
 
     async def _read(self, default: Address | None = None) -> Address:
         """The address in the file, or `default` if it has none. Retries while the file is invalid, for
--- a/anisespool/servers.py
+++ b/anisespool/servers.py
@@ -23,9 +23,7 @@
 class ListChange(NamedTuple):
     """The effect of a list, or of a change of one, on the servers."""
 
-    rows: list[
-        tuple[Member, ListedEndpoint]
-    ]  # the servers listed or affected, with their rows for the balancer
+    rows: list[tuple[Member, ListedEndpoint]]  # the servers listed or affected, with their rows
     gone: list[int]  # the numbers of the servers removed
     summary: str  # for the log
 
--- a/anisespool/service.py
+++ b/anisespool/service.py
@@ -67,9 +67,9 @@
         self._endpoints.make_room = self._server.make_room
         self._snapshot = ListSnapshot(self._store, config.known_members) if self._store else None
         external = self._sidecar.external
-        # Which server a key was sent to need not be stored if all servers drop its repeats: any may get one.
+        # The dedup group of a key need not be stored if all servers drop its repeats: any may get one.
         keeps_pins = any(c.effect is Effect.BY_KEY and c.dedup_scope != "all" for c in settings.classes)
-        self._memory = (
+        self._learned_state = (
             LearnedState(self._store, self._upgrade_locks, external, keeps_pins) if self._store else None
         )
         self._watch = Watch(
@@ -80,11 +80,11 @@
         )  # fmt: skip
         self._watch.make_room = self._server.make_room
         self._sidecar.read_pending = self._watch.read_pending
-        self._beside = UpgradeRates(self._store, external) if self._store else None
-        self._warm = None
+        self._upgrade_rates = UpgradeRates(self._store, external) if self._store else None
+        self._warm_start = None
         if self._sidecar.peers:
-            self._fleet = FleetState(self._sidecar.peers, external)
-            self._warm = WarmStart(self._sidecar.peers, external, settings.fleet_size,
+            self._fleet_state = FleetState(self._sidecar.peers, external)
+            self._warm_start = WarmStart(self._sidecar.peers, external, settings.fleet_size,
                                    settings.self_index, self._watch.list_received.is_set)  # fmt: skip
         self._admin = Admin(self._admin_commands.calls, self._server.make_room)
 
@@ -101,11 +101,11 @@
     async def run(
         self,
         stop: asyncio.Event,
-        moves: asyncio.Queue[AddressChange],
+        address_changes: asyncio.Queue[AddressChange],
         on_listening: Callable[[Address], None],
     ) -> None:
         """Serve until `stop` is set and all accepted requests are answered. Discovery is watched at the
-        address in the configuration, then at each new address from `moves`."""
+        address in the configuration, then at each new address from `address_changes`."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(callback_failed)
         self._upgrade_locks.poll()  # before any order: until then the other process is unaware of this one
@@ -117,16 +117,18 @@
             known = self._snapshot.load(self._config.names, known)
         self._sidecar.apply_list(known, ListForm.CACHED)
         self._watch.revision = known.revision  # discovery is asked for changes to the list in use
-        if self._memory:
-            self._memory.load()
-        tasks = [loop.create_task(supervise(name, work)) for name, work in self._background_tasks(moves)]
+        if self._learned_state:
+            self._learned_state.load()
+        tasks = [
+            loop.create_task(supervise(name, work)) for name, work in self._background_tasks(address_changes)
+        ]
         self._server.stall_detector.start()
         if self._config.inherited_fd is not None:
             await wait_for_any((self._watch.list_received, stop), LIST_WAIT_S)
         elif self._config.settings.discovery == "push":
             await wait_for_any((self._watch.list_received, stop, self._watch.call_failed), PUSHED_LIST_WAIT_S)
-        if self._config.inherited_fd is None and self._warm:
-            await self._warm.query_peers(self._watch.list_received)
+        if self._config.inherited_fd is None and self._warm_start:
+            await self._warm_start.query_peers(self._watch.list_received)
             tasks.append(loop.create_task(supervise("the comparison with peers' lists", self._follow_peers)))
         # Otherwise the other process would miss the first pins of keys.
         await asyncio.sleep(self._upgrade_locks.undetected_s())
@@ -156,10 +158,10 @@
             self._store.close()
 
     def _background_tasks(
-        self, moves: asyncio.Queue[AddressChange]
+        self, address_changes: asyncio.Queue[AddressChange]
     ) -> Iterator[tuple[str, Callable[[], Awaitable[object]]]]:
         """The tasks that run as long as the process, with their names for the log."""
-        yield "the watch on discovery", lambda: self._watch.follow(moves)
+        yield "the watch on discovery", lambda: self._watch.follow(address_changes)
         yield "the sweep of connections to servers", self._endpoints.sweep
         yield "the sweep of clients", self._server.sweep
         yield "the log of resources", lambda: log_resources(self._server, self._sidecar, self._endpoints)
@@ -169,16 +171,16 @@
             yield "the stored clock", lambda: save_clock(CLOCK, store)  # the start does not wait for the disk
         if self._snapshot:
             yield "the stored list", self._snapshot.follow
-        if self._memory:
-            yield "the stored keys, loads and verdicts", self._memory.follow
+        if self._learned_state:
+            yield "the stored pins, loads and ejections", self._learned_state.follow
         if self._sidecar.peers:
             yield "the peers' socket", self._sidecar.peers.open
-        if self._config.inherited_fd is not None and self._beside:
-            yield "the other process's rates", self._beside.follow
+        if self._config.inherited_fd is not None and self._upgrade_rates:
+            yield "the other process's rates", self._upgrade_rates.follow
 
     async def _follow_peers(self) -> None:
-        if self._warm:
-            await self._warm.follow(self._watch.list_received, self._watch.is_list_stale)
+        if self._warm_start:
+            await self._warm_start.follow(self._watch.list_received, self._watch.is_list_stale)
 
     def _store_list(self, raw: Entry, update: MemberList) -> None:
         """Store the list after an update from discovery has been applied."""
@@ -188,15 +190,15 @@
 
     async def _flush(self) -> None:
         """Make a last attempt to write all pending state to the store."""
-        owners = (self._maintenance, self._snapshot, self._memory)
+        owners = (self._maintenance, self._snapshot, self._learned_state)
         await asyncio.gather(*(owner.flush() for owner in owners if owner))
 
     def _on_process_count_change(self, has_other: bool) -> None:
-        """Divide the limits between the processes of an upgrade, or give all to the one that remains."""
+        """Divide the limits between the processes of an upgrade, or give them all to the one that remains."""
         log_info("upgrade", "two processes share the limits" if has_other else "one process")
         clients, servers = connection_limits(self._config, has_other)
-        if self._beside:
-            self._beside.has_other_process = has_other
+        if self._upgrade_rates:
+            self._upgrade_rates.has_other_process = has_other
         self._server.set_connection_limit(clients)
         self._endpoints.limit(servers)
 
--- a/anisespool/sidecar.py
+++ b/anisespool/sidecar.py
@@ -73,7 +73,7 @@
         exchange = Exchange(call, now + left_ns, reply, is_gone, lambda: self._on_deadline(request_id))
         self._exchanges[request_id] = exchange
         if self._end_ns is not None:
-            exchange.cap(self._end_ns)
+            exchange.limit_deadlines(self._end_ns)
         exchange.start_deadline_timer()
         event = api.Request(
             request_id, call.cls, left_ns, call.hint_ns, call.key, call.tenant, call.is_retry,
@@ -95,7 +95,7 @@
         """The process is shutting down: answer all requests, also later ones, by `end_ns`, monotonic."""
         self._end_ns = end_ns
         for exchange in self._exchanges.values():
-            exchange.cap(end_ns)
+            exchange.limit_deadlines(end_ns)
         self._handle(api.ProcessEnding(max(0, end_ns - ANSWER_RESERVE_NS - time.monotonic_ns())))
 
     def _handle(self, event: api.Event) -> None:
@@ -122,7 +122,7 @@
             server = self.servers.ids.get(action.endpoint)
             self._log_request(exchange, f"attempt {attempt.number} at {server}")
         exchange.attempts.append(attempt)
-        exchange.cap_attempt(attempt)
+        exchange.limit_attempt(attempt)
         if self._may_start(attempt):
             self._endpoints.send(attempt)
 
@@ -155,7 +155,7 @@
         self._handle(api.FirstByte(attempt.request_id, attempt.endpoint, attempt.latency_ns, attempt.number))
 
     def _on_attempt_end(self, attempt: Attempt) -> None:
-        """Answer the client with a successful response, and report the outcome to the module."""
+        """Answer the client with a successful response, and report the outcome to the decision module."""
         exchange, status = self._exchanges[attempt.request_id], attempt.status
         assert status is not None
         if status is Status.OK and attempt.response and exchange.reply:
@@ -205,8 +205,8 @@
     # Answers without a decision -------------------------------------------------------------------
 
     def _on_deadline(self, request_id: int) -> None:
-        """The module has not decided in time: answer 504, which does not say whether the request was
-        executed."""
+        """The decision module has not decided in time: answer 504, which does not say whether the request
+        has run."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
             self._log_request(exchange, "answered 504, as the module made no decision in time")
@@ -223,7 +223,7 @@
         return bool(unanswered)
 
     def _on_module_error(self, request_id: int) -> None:
-        """The module raised on an event of this request: answer 504."""
+        """The decision module raised an exception on an event of this request: answer 504."""
         exchange = self._exchanges.get(request_id)
         if exchange:
             exchange.answer(Answer(504, b"no decision\n"))
--- a/anisespool/state/learned_state.py
+++ b/anisespool/state/learned_state.py
@@ -1,7 +1,7 @@
 """Keeps what a sidecar has learned in the state store for its next process: how slow each server was, which
-servers are ejected and until when (verdicts), and which dedup group a keyed request was sent to (pins). A
+servers are ejected and until when, and which dedup group a keyed request was sent to (pins). A
 dedup group is the set of servers that recognise a repeated key. Learned response times are written every
-SNAPSHOT_INTERVAL_S, verdicts and pins within PIN_WRITE_INTERVAL_S."""
+SNAPSHOT_INTERVAL_S, ejections and pins within PIN_WRITE_INTERVAL_S."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from anisespool.external_state import ExternalState
 from anisespool.log import log_info
 from anisespool.state.pending_writes import PendingRecords, PendingWrite
-from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow, VerdictRow
+from anisespool.state.persisted_rows import EjectionRow, LearnedRow, PersistedState, PinRow
 from anisespool.state.store import Record, Store, now_ms
 from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import Status
@@ -27,12 +27,12 @@
 
 
 class LearnedState:
-    """Moves learned state between the balancing module (shuntlead) and the state store."""
+    """Moves learned state between the decision module and the state store."""
 
     def __init__(
         self, store: Store, upgrade_locks: UpgradeLocks, external: ExternalState, keeps_pins: bool
     ) -> None:
-        """`keeps_pins`: whether some requests must be sent to the dedup group that got their key before."""
+        """`keeps_pins`: whether some requests may only go to the dedup group that got their key before."""
         self._store, self._upgrade_locks, self._external, self._keeps_pins = (
             store,
             upgrade_locks,
@@ -47,7 +47,7 @@
         self._written_at_ms: dict[str, int] = {}  # server -> time of the response times last written
         self._snapshot_due = asyncio.Event()
         self._last_logged = ""
-        external.on_pin, external.on_remember = self.pin, self._snapshot_due.set
+        external.on_pin, external.on_snapshot = self.pin, self._snapshot_due.set
         self._has_loaded = False  # from then on all records are dated by this process's clock
         store.on_new_file.append(self.load)
 
@@ -57,7 +57,7 @@
         return len(self._pins) + len(self._learned)
 
     def load(self) -> None:
-        """Pass the stored state to the balancing module, now or once it can be read. If a record is
+        """Pass the stored state to the decision module, now or once it can be read. If a record is
         malformed, nothing is passed."""
         try:
             self._load()
@@ -66,15 +66,15 @@
             self._pending_read.schedule()
 
     def _load(self) -> None:
-        """Pass the stored state to the balancing module. Raises StoreError."""
+        """Pass the stored state to the decision module. Raises StoreError."""
         try:
             learned = [_learned_row(record) for record in self._store.records(LEARNED)]
-            ejections = [VerdictRow(record.id, record.until_ms, Status(int(record.body)))
+            ejections = [EjectionRow(record.id, record.until_ms, Status(int(record.body)))
                         for record in self._store.records(VERDICT)]  # fmt: skip
             is_same_clock = CLOCK.is_resumed or self._has_loaded
             pins = self._read_pins() if is_same_clock else self._read_pins_from_other_clock()
             self._has_loaded = True
-            self._external.recall(PersistedState(learned, ejections), pins)
+            self._external.restore(PersistedState(learned, ejections), pins)
         except (ValueError, TypeError) as error:
             self._log_once(f"the learned state is ignored, as a record is malformed: {error}")
 
@@ -83,7 +83,7 @@
         self._load()
 
     async def follow(self) -> None:
-        """Keep the store and the module up to date, until cancelled."""
+        """Keep the store and the decision module up to date, until cancelled."""
         await asyncio.gather(
             self._follow_module(), self._follow_other_process(),
             self._pins.follow(), self._learned.follow(), self._pending_read.follow(),
@@ -98,7 +98,7 @@
         self._pins.add([Record(PIN, f"{row.key:x}", now_ms(), row.until_ms, json.dumps(row[:4]))])
 
     async def _follow_module(self) -> None:
-        """Store what the module has learned, periodically and at once when a server has been ejected."""
+        """Store what the decision module has learned: periodically, and at once after an ejection."""
         while True:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self._snapshot_due.wait(), SNAPSHOT_INTERVAL_S)
@@ -114,7 +114,7 @@
         async for must_read in self._upgrade_locks.store_polls(PIN_WRITE_INTERVAL_S):
             try:
                 if self._store.has_changed(PIN) or must_read:
-                    self._external.recall(PersistedState((), ()), self._read_pins())
+                    self._external.restore(PersistedState((), ()), self._read_pins())
             except StoreError as error:
                 self._pending_read.report_failure(error)
                 self._pending_read.schedule()
@@ -122,7 +122,7 @@
                 self._log_once(str(error))
 
     def _changed(self, snapshot: PersistedState) -> list[Record]:
-        """Records of response times that are newer than those last written, and of all verdicts."""
+        """Records of response times that are newer than those last written, and of all ejections."""
         now = now_ms()
         fresh = [
             row
--- a/anisespool/state/list_snapshot.py
+++ b/anisespool/state/list_snapshot.py
@@ -73,7 +73,7 @@
         is_behind: bool = False,
         is_withdrawn: Callable[[str], bool] = lambda server: False,
     ) -> None:
-        """Take up an update from discovery: `raw` as received, `update` as parsed. `is_behind`: the list in
+        """Apply an update from discovery: `raw` as received, `update` as parsed. `is_behind`: the list in
         use is older than an earlier one, which stays stored until the list in use has caught up.
         `is_withdrawn`: whether a server is out of use although it is up by the list in use; it is not stored
         as up then."""
--- a/anisespool/state/peer_lists.py
+++ b/anisespool/state/peer_lists.py
@@ -1,8 +1,8 @@
 """Warm start from peers: a sidecar that has just started asks some peers which servers are up by their lists,
 until it has received its own first list. The peers also answer which servers they have ejected. A sidecar
-asks again while its list is old, that is, when it has lost its watch on discovery and no call has returned a
-newer list. This module has the datagrams (at most 256 bytes each) and the waiting; anisespool/withdrawals.py
-decides what the answers change.
+asks again while its list is stale, that is, when it has lost its watch on discovery and no call has returned
+a newer list. This module has the datagrams (at most 256 bytes each) and the waiting;
+anisespool/withdrawals.py decides what the answers change.
 
 A list is sent in independent parts. A part says that of the servers whose shared ids are from `low` to
 `high`, exactly those in the part are up. If a part is lost, nothing changes for the servers in its range.
@@ -22,7 +22,7 @@
 from shuntlead.outliers import quorum
 
 QUERY, LIST_PART = b"\x02", b"\x03"  # the first byte of a datagram: its type
-_QUERY = struct.Struct("<II?")  # nonce, digest of the servers up by the asker's list, wants sightings
+_QUERY = struct.Struct("<II?")  # nonce, digest of the servers up by the asker's list, wants observations
 _PART = struct.Struct("<IQBBII")  # nonce, revision, number, parts (0: no list, or the same), low, high
 # The low half of a shared id. Ids may collide: about one in a thousand servers that are down is taken as up.
 _SHORT_ID = struct.Struct("<H")
@@ -32,7 +32,7 @@
 MAX_SHARED_ID = 0xFFFFFFFF
 # While a release restarts a fleet, most peers have no list themselves, so the second round asks more.
 PEERS_PER_ROUND = 3, 9
-QUERY_INTERVAL_S = 1.0  # between later queries, until discovery's first list or while the list is old
+QUERY_INTERVAL_S = 1.0  # between later queries, until discovery's first list or while the list is stale
 ROUND_S = 0.08  # a datagram takes up to 28 ms each way
 MAX_WAIT_S = len(PEERS_PER_ROUND) * ROUND_S  # the documented bound: READY is not delayed longer by peers
 ANSWERS_PER_S, ANSWERS_BURST = 20.0, 40.0  # limits the load caused by the restarts of a release
@@ -92,7 +92,7 @@
             async with asyncio.timeout(MAX_WAIT_S):
                 await self._peers.opened.wait()
                 for round_number, count in enumerate(PEERS_PER_ROUND):
-                    self._query_random_peers(count, wants_sightings=round_number == 0)
+                    self._query_random_peers(count, wants_observations=round_number == 0)
                     done, _ = await asyncio.wait(
                         event_tasks, timeout=ROUND_S, return_when=asyncio.FIRST_COMPLETED
                     )
@@ -104,27 +104,27 @@
             for task in event_tasks:
                 task.cancel()
 
-    async def follow(self, list_received: asyncio.Event, list_is_old: Callable[[], bool]) -> None:
-        """Keep querying until discovery has sent a list, and whenever the list is old, as servers may start
+    async def follow(self, list_received: asyncio.Event, is_list_stale: Callable[[], bool]) -> None:
+        """Keep querying until discovery has sent a list, and whenever the list is stale, as servers may start
         to drain meanwhile."""
-        was_old = True  # initially
+        was_stale = True  # initially
         while True:
             await asyncio.sleep(random.uniform(0.5, 1.0) * QUERY_INTERVAL_S)
-            is_old = not list_received.is_set() or list_is_old()
-            if is_old and not was_old:
+            is_stale = not list_received.is_set() or is_list_stale()
+            if is_stale and not was_stale:
                 self._external.mark_list_stale()
-            if is_old:
+            if is_stale:
                 self._query_random_peers(PEERS_PER_ROUND[0])
-            was_old = is_old
+            was_stale = is_stale
 
-    def _query_random_peers(self, count: int, wants_sightings: bool = False) -> None:
+    def _query_random_peers(self, count: int, wants_observations: bool = False) -> None:
         up = self._external.servers.up_shared_ids()
         not_queried = [
             peer for peer in self._other_peers if peer not in self._parts_received
         ] or self._other_peers
         for peer in random.sample(not_queried, min(count, len(not_queried))):
             self._parts_received[peer] = set()
-            self._peers.send(peer, QUERY + _QUERY.pack(self._nonce, list_digest(up), wants_sightings))
+            self._peers.send(peer, QUERY + _QUERY.pack(self._nonce, list_digest(up), wants_observations))
 
     def _on_query(self, sender: int, data: bytes) -> bool:
         if len(data) != _QUERY.size:
@@ -135,7 +135,7 @@
         if self._tokens < 1:
             return True
         self._tokens -= 1
-        nonce, their_digest, wants_sightings = _QUERY.unpack(data)
+        nonce, their_digest, wants_observations = _QUERY.unpack(data)
         if not self._has_list():
             self._peers.send(sender, LIST_PART + _PART.pack(nonce, 0, 0, 0, 0, 0))
             return True
@@ -143,7 +143,7 @@
         unchanged = [LIST_PART + _PART.pack(nonce, revision, 0, 0, 0, 0)]
         for part in unchanged if their_digest == list_digest(up) else encode_list(nonce, revision, up):
             self._peers.send(sender, part)
-        self._external.on_peer_query(sender, wants_sightings)
+        self._external.on_peer_query(sender, wants_observations)
         return True
 
     def _on_list_part(self, sender: int, data: bytes) -> bool:
--- a/anisespool/state/persisted_rows.py
+++ b/anisespool/state/persisted_rows.py
@@ -9,7 +9,7 @@
 
 
 class LearnedRow(NamedTuple):
-    """What was last learned of a server, and when (Unix ms). The same values as in Sighting."""
+    """What was last learned of a server, and when (Unix ms). The same values as in Observation."""
 
     server: str
     slow: float  # response times relative to what the same requests usually take
@@ -17,7 +17,7 @@
     at_ms: int
 
 
-class VerdictRow(NamedTuple):
+class EjectionRow(NamedTuple):
     """A server that is ejected until `until_ms` (Unix ms), and the failure that caused it."""
 
     server: str
@@ -27,7 +27,7 @@
 
 class PinRow(NamedTuple):
     """The dedup group (the servers that recognise a repeated key) that must get all requests with a key until
-    `until_ms` (Unix ms), in the numbers used by Pinned."""
+    `until_ms` (Unix ms), with the numbers of KeyPin."""
 
     key: int
     request_class: int
@@ -40,4 +40,4 @@
     """What was learned of servers, and which are ejected."""
 
     learned: Sequence[LearnedRow]
-    ejections: Sequence[VerdictRow]
+    ejections: Sequence[EjectionRow]
--- a/anisespool/state/records.py
+++ b/anisespool/state/records.py
@@ -38,4 +38,5 @@
 
 
 def log(text: str) -> None:
+    """Logs a line on the state store."""
     log_info("state", text)
--- a/anisespool/supervision.py
+++ b/anisespool/supervision.py
@@ -8,7 +8,7 @@
 
 from anisespool.log import log_info
 
-AGAIN_S = 0.5  # delay before a failed task is restarted
+RESTART_DELAY_S = 0.5  # delay before a failed task is restarted
 
 
 async def supervise(name: str, work: Callable[[], Awaitable[object]]) -> None:
@@ -21,4 +21,4 @@
         except Exception as error:
             log_info("anisespool", f"{name} failed and starts again: {type(error).__name__}: {error}")
             traceback.print_exc()
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/anisespool/telemetry.py
+++ b/anisespool/telemetry.py
@@ -18,6 +18,7 @@
         self._tokens, self._tokens_at_s = LINES_BURST, time.monotonic()
 
     def count(self, name: str) -> None:
+        """Add one to a counter."""
         self.counts[name] += 1
 
     def log_counts(self) -> None:
--- a/anisespool/upgrade_locks.py
+++ b/anisespool/upgrade_locks.py
@@ -90,6 +90,7 @@
                 self._on_change(has_other)
 
     def close(self) -> None:
+        """Release the locks; `follow` ends."""
         for descriptor in (self._first, self._second):
             if descriptor is not None:
                 os.close(descriptor)
--- a/anisespool/withdrawals.py
+++ b/anisespool/withdrawals.py
@@ -50,6 +50,8 @@
 
 
 class Withdrawals:
+    """The servers withdrawn, by the lists and the reports of peers received so far."""
+
     def __init__(self, fleet_size: int) -> None:
         """`fleet_size`: the number of sidecars, which determines the quorum."""
         self.revision = 0  # the latest of all lists so far
@@ -62,7 +64,7 @@
         self._contradicted: set[str] = set()  # not up in another list of the same or a later revision
         self._unconfirmed: set[str] = set()  # the list in use is older than the latest, where they are not up
         self._peer_reports: dict[str, dict[int, PeerReport]] = {}  # by the server's id and the peer's number
-        self._out_by_peers: frozenset[str] = frozenset()  # not up in later lists of peers
+        self._withdrawn_by_peers: frozenset[str] = frozenset()  # not up in later lists of peers
         self._contradicted_since_ns: int | None = None  # since when discovery has contradicted these
 
     @property
@@ -72,9 +74,9 @@
 
     def is_withdrawn(self, member: Member) -> bool:
         """Whether a server that is up in the list in use is withdrawn."""
-        return self._is_out_by_lists(member) or member.id in self._out_by_peers
+        return self._is_withdrawn_by_lists(member) or member.id in self._withdrawn_by_peers
 
-    def _is_out_by_lists(self, member: Member) -> bool:
+    def _is_withdrawn_by_lists(self, member: Member) -> bool:
         return member.id in self._contradicted or member.id in self._unconfirmed
 
     # Lists ------------------------------------------------------------------------------------------
@@ -159,10 +161,10 @@
         """The latest report on a server decides. But it takes a quorum of peers to withdraw the last server
         in use, not a single one. Returns the servers affected."""
         out = {server for server, reports in self._peer_reports.items() if not _latest_report(reports).is_up}
-        if out and all(member.id in out or self._is_out_by_lists(member) for member in up()):
+        if out and all(member.id in out or self._is_withdrawn_by_lists(member) for member in up()):
             out = {server for server in out if self._has_quorum(server)}
-        before, self._out_by_peers = self._out_by_peers, frozenset(out)
-        return set(before ^ self._out_by_peers)
+        before, self._withdrawn_by_peers = self._withdrawn_by_peers, frozenset(out)
+        return set(before ^ self._withdrawn_by_peers)
 
     def _has_quorum(self, server: str) -> bool:
         return sum(not report.is_up for report in self._peer_reports[server].values()) >= self._quorum
@@ -172,24 +174,24 @@
     def discovery_caught_up(self, now_ns: int, revision: int) -> set[str]:
         """Discovery has sent a message, and the list in use, of this revision, is all that it has. Returns
         the servers back in use, as discovery has contradicted their withdrawal for REVISION_RESET_NS."""
-        held = self._contradicted | self._unconfirmed | self._out_by_peers
-        if not held:
+        withdrawn = self._contradicted | self._unconfirmed | self._withdrawn_by_peers
+        if not withdrawn:
             self._contradicted_since_ns = None
             return set()
         if self._contradicted_since_ns is None:
             self._contradicted_since_ns = now_ns
         if now_ns < self._contradicted_since_ns + REVISION_RESET_NS:
             return set()
-        self._reset_revisions(revision, held)
-        return held
+        self._reset_revisions(revision, withdrawn)
+        return withdrawn
 
-    def _reset_revisions(self, revision: int, held: Iterable[str]) -> None:
-        for server in held:
+    def _reset_revisions(self, revision: int, withdrawn: Iterable[str]) -> None:
+        for server in withdrawn:
             self._withdrawn.pop(server, None)
         self._withdrawn = {
             s: Withdrawal(o.started_ms, min(o.revision, revision)) for s, o in self._withdrawn.items()
         }
-        self._peer_reports, self._out_by_peers = {}, frozenset()
+        self._peer_reports, self._withdrawn_by_peers = {}, frozenset()
         self._contradicted, self._unconfirmed = set(), set()
         self._confirmed, self._contradicted_since_ns, self.revision = None, None, revision
 
--- a/shuntlead/balancer.py
+++ b/shuntlead/balancer.py
@@ -1,6 +1,6 @@
 """The balancer: passes each event to the modules that decide on it, and follows each request from its arrival
 to its final answer. All attempts use the same selection (shuntlead/selection.py), one at a time per request.
-This module writes Pending and Attempt records."""
+This module writes Pending and Attempt records. Times are monotonic nanoseconds."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
         cls, now = self.settings.classes[event.cls], self.ctx.now
         req = self.pending[event.request] = Pending(event, cls, now, self.retries.waited_ns(event, cls))
         if self.process_end is not None:
-            req.cap_deadlines(self.process_end)
+            req.limit_deadlines(self.process_end)
         self.open_count += 1
         self.selector.request_rate.add(now)
         self.shedding.on_request(event.tenant)
@@ -107,10 +107,10 @@
         if req.done or req.is_waiting():
             return  # already handled: both a timer and the end of an earlier request wake it
         ctx, expected_ns = self.ctx, self.estimates.expected_ns(req)
-        # Requests behind a stuck one with the same key would all become late. They are refused in time.
+        # Requests behind a stuck one with the same key would all become late. They are refused early.
         ahead, cooldown = self.keys.count_ahead(req), self.keys.cooldown_ns(req)
         left = req.useful_until - ctx.now - int(ahead * expected_ns) - cooldown
-        if self.tenants.is_over(req):
+        if self.tenants.is_over_quota(req):
             self._reject(req, over_quota=True)
         elif left <= 0 or not req.attempts and self._should_shed(req):
             self._reject(req)
@@ -119,7 +119,7 @@
         elif endpoint := self.selector.select(req, self.members.usable(), expected_ns):
             self._send(req, endpoint, expected_ns)
         elif req.maybe_ran() or ctx.now >= req.hold_until:
-            self._reject(req)  # no repeat is allowed, or the client had better retry
+            self._reject(req)  # no repeat is allowed, or the client needs the rest of the time to retry
         else:
             ctx.log("held", f"none of the {len(self.members.ready)} ready endpoints is eligible")
             ctx.set_timer("hold", min(req.cls.target_ns // HOLD_CHECKS, req.hold_until - ctx.now), req.id)
@@ -170,7 +170,7 @@
         """Lets open requests continue, within the time that is left."""
         self.process_end = self.ctx.now + event.left_ns
         for req in self.pending.values():
-            req.cap_deadlines(self.process_end)
+            req.limit_deadlines(self.process_end)
 
     def _on_client_gone(self, event: api.ClientGone) -> None:
         req = self.pending.get(event.request)
--- a/shuntlead/context.py
+++ b/shuntlead/context.py
@@ -11,6 +11,8 @@
 
 
 class Context:
+    """The shared state of one Balancer. Times are monotonic nanoseconds."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, Random(seed)
         # now: time of the current event; started: when the first endpoint list arrived; salt: makes this
@@ -25,6 +27,7 @@
         self.max_target_ns = max(c.target_ns for c in settings.classes)
 
     def emit(self, *actions: api.Action) -> None:
+        """Appends to the actions that the current event returns."""
         self.actions.extend(actions)
 
     def log(self, topic: str, text: str) -> None:
@@ -35,6 +38,7 @@
             self.actions.append(api.Log(f"{topic}: {text}"))
 
     def set_timer(self, purpose: str, delay: int, subject: int = 0) -> None:
+        """Sets a timer for `delay` ns, MAX_TIMER_NS at most. `subject`: a request id or other argument."""
         self._next_token = (self._next_token + 1) % 2**32
         self.timers[self._next_token] = (purpose, subject)
         self.actions.append(api.SetTimer(max(0, min(delay, MAX_TIMER_NS)), self._next_token))
--- a/shuntlead/estimates.py
+++ b/shuntlead/estimates.py
@@ -24,6 +24,8 @@
 
 
 class Estimates:
+    """The moving averages of response times and of the queues that endpoints report."""
+
     def __init__(self, ctx: Context) -> None:
         self._ctx, classes = ctx, ctx.settings.classes
         self.class_ns = [c.target_ns / 4 for c in classes]  # usual response time of each class
@@ -92,6 +94,7 @@
             self._hint_mean[cls] += alpha * (req.event.hint_ns - self._hint_mean[cls])
 
     def set_slowdown(self, e: Endpoint, slow: float, at: int) -> None:
+        """Sets an endpoint's slowdown as of `at`, and updates the mean of its machine kind."""
         e.slowdown, e.slowdown_at, kind = slow, at, self.typical_slowdown(e)
         if slow >= UNREACHABLE_SLOWDOWN:  # tells nothing about other endpoints of its kind
             return
@@ -116,6 +119,7 @@
         return True
 
     def on_report(self, e: Endpoint, load: tuple[float, ...]) -> None:
+        """Takes the queue from a load report."""
         value = load[self._load_column] if self._load_column < len(load) else -1.0
         if 0 <= value < 1e9:  # ignores nan, inf and out-of-range values
             e.queue, e.queue_at, e.sent_since_report = value, self._ctx.now, 0
--- a/shuntlead/interface/actions.py
+++ b/shuntlead/interface/actions.py
@@ -44,6 +44,8 @@
 
 
 class Log(NamedTuple):
+    """Write a line `topic: text` to the log."""
+
     text: str
 
 
@@ -84,7 +86,7 @@
 
 
 class SendEjections(NamedTuple):
-    """Send the own ejections of this sidecar."""
+    """Send this sidecar's own ejections."""
 
     peer: int  # -1: every peer
     ejections: tuple[Ejection, ...]
--- a/shuntlead/interface/enums.py
+++ b/shuntlead/interface/enums.py
@@ -16,14 +16,14 @@
 class Status(IntEnum):
     """How an attempt ended."""
 
-    ERROR = 0
+    ERROR = 0  # the endpoint answered with an error
     OK = 1
-    FULL = 2
+    FULL = 2  # the endpoint refused it without running it
     TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
+    CONNECT_FAILED = 4  # the request was not completely sent
+    RESET = 5  # the connection broke before the answer
     CANCELLED = 6
-    MOOT = 7
+    MOOT = 7  # did not run, for a reason that says nothing about the endpoint
 
 
 MAX_OBSERVATIONS = 36  # in one message between sidecars: 7 bytes each, of 256
--- a/shuntlead/interface/events.py
+++ b/shuntlead/interface/events.py
@@ -108,6 +108,8 @@
 
 
 class PeerMessage(NamedTuple):
+    """What a peer tells of the overall load and of single endpoints."""
+
     sender: int
     # Share of their targets that the sender's recent requests took: 1 if all miss them, below 0 if unknown.
     pressure: float = -1.0
--- a/shuntlead/interface/settings.py
+++ b/shuntlead/interface/settings.py
@@ -13,6 +13,8 @@
 
 
 class RequestClass(NamedTuple):
+    """The rules for one class of requests."""
+
     target_ns: int  # response time that an answer should keep to
     deadline_ns: int  # from the first try on, when clients give up
     effect: Effect
@@ -26,11 +28,15 @@
 
 
 class Tenant(NamedTuple):
+    """What one tenant is entitled to."""
+
     share: float  # part of the capacity that it is entitled to
     quota_per_s: float  # requests per second over the whole fleet; 0: no quota
 
 
 class Settings(NamedTuple):
+    """All settings of one sidecar. Durations are in nanoseconds."""
+
     classes: tuple[RequestClass, ...]
     zone: int
     attempts_cap: int  # most attempts of one request
--- a/shuntlead/keys.py
+++ b/shuntlead/keys.py
@@ -12,6 +12,8 @@
 
 
 class Keys:
+    """The queues of requests with the same key, and the pins of idempotency keys to dedup groups."""
+
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
         # Dedup key -> (zone, cell, expiry, id of the request that was sent there first), oldest first.
@@ -30,7 +32,7 @@
         candidates = ready
         if maybe_ran and req.cls.effect is Effect.BY_KEY:
             # Outside the dedup group of the first attempt, or after its window, a repeat would run a second
-            # time. A repeat may take a connect time-out and a few intervals of the clock resolution to
+            # time. A repeat may take a connect timeout and a few intervals of the clock resolution to
             # arrive.
             first, candidates = maybe_ran[0].endpoint.row, usual_endpoints
             travel = s.connect_timeout_ns + 4 * s.resolution_ns + s.answer_slack_ns
@@ -72,6 +74,7 @@
     # Requests in order ---------------------------------------------------------------------------
 
     def enqueue(self, req: Pending) -> None:
+        """Adds a request to the queue of its key, if it has one."""
         if req.key:
             self.queues.setdefault(req.key, []).append(req)
 
--- a/shuntlead/learning.py
+++ b/shuntlead/learning.py
@@ -15,16 +15,20 @@
 
 
 class Learning:
+    """Turns answers, failures and load reports into samples for the other modules."""
+
     def __init__(self, ctx: Context, estimates: Estimates, shedding: Shedding, selector: EndpointSelector,
                  peer_exchange: PeerExchange) -> None:  # fmt: skip
         self._ctx, self._estimates, self._shedding = ctx, estimates, shedding
         self._selector, self._peer_exchange = selector, peer_exchange
 
     def on_report(self, e: Endpoint, load: tuple[float, ...]) -> None:
+        """Learns from an endpoint's load report."""
         self._shedding.on_report(e, load)
         self._estimates.on_report(e, load)
 
     def on_answer(self, req: Pending, attempt: Attempt, took_ns: int) -> None:
+        """Learns from an answer that took `took_ns`."""
         attempt.endpoint.answered_sent_at = max(attempt.endpoint.answered_sent_at, attempt.sent_at)
         if self._ctx.now <= req.target_at and not req.done:
             self._shedding.in_time_answers.add(self._ctx.now)
@@ -33,6 +37,7 @@
         self.on_attempt_end(req, attempt, took_ns, Status.OK)
 
     def on_attempt_end(self, req: Pending, attempt: Attempt, took_ns: int, status: Status) -> None:
+        """Learns from the end of an attempt after `took_ns`."""
         e, took = attempt.endpoint, float(took_ns)
         before = self._estimates.slowdown(e)
         target_missed = status is Status.TIMEOUT and self._ctx.now >= req.target_at
--- a/shuntlead/members.py
+++ b/shuntlead/members.py
@@ -25,6 +25,8 @@
 
 
 class Members:
+    """The listed endpoints, those that may get new requests, and the ejections."""
+
     def __init__(self, ctx: Context, estimates: Estimates, shedding: Shedding) -> None:
         self._ctx, self._estimates, self._shedding = ctx, estimates, shedding
         self.endpoints: dict[int, Endpoint] = {}
@@ -49,9 +51,7 @@
                 del self.ready[bisect_left(self.ready, known.rank, key=GET_RANK)]
                 self._ready_weight -= known.weight
             same_process = known if known and known.row.started_ns == row.started_ns else None
-            if (
-                same_process is None
-            ):  # an id with another start time is a new process, of which nothing is known
+            if same_process is None:  # another start time: a new process, of which nothing is known
                 self.ejections.reset(row.endpoint)
             if row.state != EndpointState.GONE:
                 e = self.endpoints[row.endpoint] = same_process or Endpoint(row, self._ctx)
@@ -128,10 +128,12 @@
         self._ctx.set_timer("ejections", wait_ns, max(0, repeats_left - 1))
 
     def on_timer(self, repeats_left: int) -> None:
+        """Sends the ejections again if that is due."""
         if self._ctx.now >= self._next_send_at > 0:  # otherwise a later timer is pending
             self.send_ejections(repeats_left)
 
     def on_peer_ejections(self, event: api.PeerEjections) -> None:
+        """Applies a peer's ejections: one makes an endpoint less likely to be chosen, a quorum ejects it."""
         now = self._ctx.now
         for ejection in event.ejections:
             e = self.endpoints.get(ejection.endpoint)
--- a/shuntlead/outliers.py
+++ b/shuntlead/outliers.py
@@ -28,6 +28,8 @@
 
 
 class _Record:
+    """The failures and the ejection of one endpoint."""
+
     __slots__ = ("fail_share", "own", "peers", "reason", "ejections_in_row", "until")
 
     def __init__(self) -> None:
@@ -38,6 +40,8 @@
 
 
 class OutlierDetector:
+    """The evidence on each endpoint, and the ejections that follow from it."""
+
     def __init__(self, fleet_size: int) -> None:
         self.quorum = quorum(fleet_size)
         self.mean = 0.0  # failed share of all attempts
@@ -83,6 +87,7 @@
         return max(1, longest[self.quorum - 1] - now)
 
     def count(self, now: int) -> int:
+        """The number of endpoints that are ejected at `now`."""
         return sum(record.until > now for record in self._records.values())
 
     def is_ejected(self, now: int, endpoint: int) -> bool:
--- a/shuntlead/peer_codec.py
+++ b/shuntlead/peer_codec.py
@@ -37,6 +37,7 @@
 
 
 def encode_peer_message(pressure: float, observations: tuple[api.Observation, ...]) -> bytes:
+    """The message, with the first MAX_OBSERVATIONS of the observations."""
     rows = [
         _OBSERVATION.pack(
             s.endpoint,
--- a/shuntlead/peer_exchange.py
+++ b/shuntlead/peer_exchange.py
@@ -21,6 +21,8 @@
 
 
 class PeerExchange:
+    """Sends observations and ejections to peers and to the store, and adds those received."""
+
     def __init__(self, ctx: Context, estimates: Estimates, shedding: Shedding, members: Members) -> None:
         self._ctx, self._estimates, self._shedding, self._members = ctx, estimates, shedding, members
         self._last_sent_at = 0
@@ -40,6 +42,7 @@
         ctx.emit(*(api.SendToPeer(peer, self._shedding.pressure()) for peer in peers[1:]))  # one byte each
 
     def send_observations(self, peer: int) -> None:
+        """Sends the overload pressure and the latest observations to one peer."""
         fresh = nlargest(
             api.MAX_OBSERVATIONS, self._members.ready[:MAX_SNAPSHOT_ENDPOINTS], key=lambda e: e.slowdown_at
         )
@@ -47,11 +50,13 @@
         self._ctx.emit(api.SendToPeer(peer, self._shedding.pressure(), observations))
 
     def on_peer_message(self, message: api.PeerMessage) -> None:
+        """Takes a peer's overload pressure and observations into this sidecar's estimates."""
         if message.pressure >= 0:  # below 0: the message could not be decoded
             self._shedding.pressure(min(1.0, message.pressure), 0.5)
         self.add_observations(message.observations)
 
     def add_observations(self, observations: tuple[api.Observation, ...]) -> None:
+        """Adds observations of a peer or the store; those of unknown endpoints are ignored."""
         for observation in observations:
             if e := self._members.endpoints.get(observation.endpoint):
                 self._estimates.add_observation(e, observation)
--- a/shuntlead/quotas.py
+++ b/shuntlead/quotas.py
@@ -3,9 +3,9 @@
 
 Each sidecar reports the request rates of its tenants and passes on the reports of others (gossip; each report
 keeps its own age). A tenant's fleet-wide rate is the sum of the fresh reports, counting their mean for each
-sidecar without one: if there is no report at all, the own rate times the fleet size. Where it exceeds the
-quota, every sidecar admits the same share, quota / rate, so that the sum is the quota however the traffic is
-spread.
+sidecar without one: if there is no report at all, this sidecar's rate times the fleet size. Where it exceeds
+the quota, every sidecar admits the same share, quota / rate, so that the sum is the quota however the traffic
+is spread.
 """
 
 from __future__ import annotations
@@ -31,8 +31,10 @@
 
 
 class Quotas:
+    """The rates of all tenants, here and at other sidecars, and the share of each that is admitted."""
+
     def __init__(self, settings: Settings) -> None:
-        self._self, self._size = settings.self_index, settings.fleet_size
+        self._self_index, self._fleet_size = settings.self_index, settings.fleet_size
         self.quotas = [tenant.quota_per_s for tenant in settings.tenants]
         self._rates = [Rate(RATE_HALF_LIFE_NS) for _ in self.quotas]
         # Rates at the other process of this sidecar during an upgrade, and until when they are valid.
@@ -58,6 +60,7 @@
         return tuple(a + b for a, b in zip(rates, other, strict=True)) if now < until else rates
 
     def set_other_rates(self, until: int, rates: tuple[float, ...]) -> None:
+        """Sets the rates at the other process of an upgrade, valid until `until`."""
         if len(rates) == len(self.quotas):
             self._other_process = until, rates
 
@@ -66,7 +69,7 @@
         for report in reports:
             at = now - max(0, report.age_ns)
             known_at = self._reports.get(report.sidecar, (-REPORT_LIFETIME_NS, ()))[0]
-            valid = report.sidecar != self._self and report.sidecar < self._size
+            valid = report.sidecar != self._self_index and report.sidecar < self._fleet_size
             if (
                 valid
                 and at > known_at
@@ -83,13 +86,13 @@
     def fleet_rates(self, now: int) -> list[float]:
         """Estimated requests per second of each tenant over the whole fleet."""
         rows = [self.sidecar_rates(now), *(rates for _, rates in self.fresh_reports(now).values())]
-        return [sum(column) / len(rows) * self._size for column in zip(*rows, strict=True)]
+        return [sum(column) / len(rows) * self._fleet_size for column in zip(*rows, strict=True)]
 
     def admitted_share(self, now: int, tenant: int, overloaded: bool) -> float:
         """The share of a tenant's requests that is admitted: its quota, and more by a factor that the servers
         have recently sustained. If the excess were admitted or refused as a whole by their present load, it
         would switch on and off with the delay of their reports and fill their queues each time."""
-        elapsed, connection_limits = now - self._shares[0], self._shares[1]
+        elapsed, shares = now - self._shares[0], self._shares[1]
         if elapsed >= SHARES_REFRESH_NS:
             pairs = zip(self.fleet_rates(now), self.quotas, strict=True)
             excesses = [max(1.0, rate / quota) if quota > 0 else 1.0 for rate, quota in pairs]
@@ -100,12 +103,12 @@
             self._slack = max(1.0, slack)
             min_share = (
                 MIN_ADMITTED_SHARE
-                if len(self._reports) >= MIN_REPORTED_SHARE * (self._size - 1)
+                if len(self._reports) >= MIN_REPORTED_SHARE * (self._fleet_size - 1)
                 else MIN_ADMITTED_SHARE_UNINFORMED
             )
-            connection_limits = [min(1.0, max(min_share, self._slack / excess)) for excess in excesses]
-            self._shares = now, connection_limits
-        return connection_limits[tenant]
+            shares = [min(1.0, max(min_share, self._slack / excess)) for excess in excesses]
+            self._shares = now, shares
+        return shares[tenant]
 
     def admit(self, now: int, tenant: int, overloaded: bool) -> bool:
         """Whether this request is within the admitted share. Requests are admitted at even intervals: a
@@ -127,5 +130,5 @@
     def reports(self, now: int, limit: int) -> tuple[TenantReport, ...]:
         """At most `limit` reports for a peer: this sidecar's own and the latest of the others."""
         others = nlargest(limit - 1, self.fresh_reports(now).items(), key=lambda item: item[1][0])
-        return (TenantReport(self._self, 0, self.sidecar_rates(now)),
+        return (TenantReport(self._self_index, 0, self.sidecar_rates(now)),
                 *(TenantReport(n, now - at, rates) for n, (at, rates) in others))  # fmt: skip
--- a/shuntlead/rate.py
+++ b/shuntlead/rate.py
@@ -14,6 +14,7 @@
         self.half_ns, self.value, self.at = max(half_ns, 1), 0.0, 0
 
     def read(self, now: int) -> float:
+        """The rate at `now`, per nanosecond."""
         if now != self.at:
             self.value, self.at = self.value * exp2((self.at - now) / self.half_ns), now
         return self.value
--- a/shuntlead/records.py
+++ b/shuntlead/records.py
@@ -12,6 +12,8 @@
 
 
 class Endpoint:
+    """What is known of one endpoint. Times are monotonic nanoseconds."""
+
     __slots__ = ("row", "id", "zone", "weight", "ready", "in_flight", "transferring", "slowdown",
                  "slowdown_at", "class_slowdowns", "queue", "queue_at", "sent_since_report", "cold_from",
                  "warm_at", "ramp", "answered_sent_at", "connections", "connection_used_at", "ejected",
@@ -43,12 +45,15 @@
         self.update(row)
 
     def update(self, row: api.ListedEndpoint) -> None:
+        """Takes over the endpoint's current row in the list."""
         self.row, self.id, self.zone = row, row.endpoint, row.zone
         self.weight = row.weight if 1e-6 < row.weight < 1e9 else 1.0
         self.ready = row.state == EndpointState.READY
 
 
 class Attempt:
+    """One attempt of a request at one endpoint."""
+
     __slots__ = ("answer_begun", "endpoint", "may_have_run", "body_started_at", "open", "transferring",
                  "sent_at", "ready_weight", "expected_ns")  # fmt: skip
 
@@ -88,7 +93,7 @@
         # streaming: bytes of a long request body or answer have been passed on and cannot be sent again.
         self.done = self.streaming = False
 
-    def cap_deadlines(self, process_end: int) -> None:
+    def limit_deadlines(self, process_end: int) -> None:
         """Moves all deadlines to `process_end` or earlier."""
         self.process_end = process_end
         self.useful_until, self.client_deadline = (
@@ -105,7 +110,7 @@
             self.client_deadline + transfer_ns,
         )
         if self.process_end is not None:
-            self.cap_deadlines(self.process_end)
+            self.limit_deadlines(self.process_end)
 
     def has_time(self) -> bool:
         """Whether a process that is shutting down leaves the request its full target time."""
@@ -116,7 +121,9 @@
         return [a for a in self.attempts if a.may_have_run]
 
     def transferring(self) -> bool:
+        """Whether only a long body of the last attempt is still being transferred."""
         return bool(self.attempts) and self.attempts[-1].transferring
 
     def is_waiting(self) -> bool:
+        """Whether an attempt is open."""
         return bool(self.attempts) and self.attempts[-1].open
--- a/shuntlead/retries.py
+++ b/shuntlead/retries.py
@@ -20,6 +20,8 @@
 
 
 class Retries:
+    """The retry budget, and the time that clients usually allow."""
+
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
         self._tokens = RETRY_BURST / 5
@@ -41,7 +43,7 @@
 
     def attempt_timeout_ns(self, req: Pending, expected_ns: float) -> int:
         """How long an attempt may take before another is made; 0: as long as the request itself. Without a
-        time-out a silent endpoint or a lost answer would use up all the time for a retry."""
+        timeout a silent endpoint or a lost answer would use up all the time for a retry."""
         timeout_ns, s = int(ATTEMPT_TIMEOUT_FACTOR * expected_ns), self._ctx.settings
         fits = (
             self._ctx.now + timeout_ns + MIN_TIME_LEFT_FACTOR * expected_ns < req.target_at
--- a/shuntlead/selection.py
+++ b/shuntlead/selection.py
@@ -25,6 +25,8 @@
 
 
 class EndpointSelector:
+    """Chooses the endpoint of each attempt."""
+
     def __init__(self, ctx: Context, estimates: Estimates, shedding: Shedding, keys: Keys) -> None:
         self._ctx, self._estimates, self._shedding, self._keys = ctx, estimates, shedding, keys
         self.request_rate = Rate(4 * ctx.half_life_ns)  # of requests; shorter would be noise at low traffic
--- a/shuntlead/shedding.py
+++ b/shuntlead/shedding.py
@@ -28,6 +28,8 @@
 
 
 class Shedding:
+    """The measures of overload, and the decision to refuse requests for it."""
+
     def __init__(self, ctx: Context, estimates: Estimates) -> None:
         self._ctx, self._estimates, s = ctx, estimates, ctx.settings
         # Higher where late answers keep some of their value.
@@ -45,10 +47,12 @@
         self._util_column = (*s.report_columns, "util").index("util")
 
     def on_request(self, tenant: int) -> None:
+        """Counts a request of the tenant."""
         if tenant < len(self._tenant_rates):
             self._tenant_rates[tenant].add(self._ctx.now)
 
     def on_report(self, e: Endpoint, load: tuple[float, ...]) -> None:
+        """Takes the CPU utilization from a load report."""
         if self._util_column < len(load) and 0 <= load[self._util_column] <= 2:
             e.util = util = min(load[self._util_column], 1.0)
             self._add_utilization(util)
--- a/shuntlead/simhost.py
+++ b/shuntlead/simhost.py
@@ -20,6 +20,7 @@
         self._lists: dict[int, tuple[api.ListedEndpoint, ...]] = {}
 
     def handle_batch(self, now_ns: int, count: int, body: bytes) -> list[tuple[int, api.Action]]:
+        """Returns the (instance, action) pairs for a batch of events. Raises WireError."""
         reply: list[tuple[int, api.Action]] = []
         for instance, event in wire.decode_batch(count, body):
             if isinstance(event, wire.NumberedList):
@@ -92,6 +93,7 @@
 
 
 def main() -> int:
+    """Returns the exit status: 2 if the input violates the protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/shuntlead/tenants.py
+++ b/shuntlead/tenants.py
@@ -15,6 +15,8 @@
 
 
 class Tenants:
+    """Connects the Quotas with the requests, the peers and the timers."""
+
     def __init__(self, ctx: Context, shedding: Shedding, members: Members) -> None:
         self._ctx, self._shedding, self._members = ctx, shedding, members
         self._quotas = Quotas(ctx.settings)
@@ -28,7 +30,7 @@
     def on_request(self, tenant: int) -> None:
         self._quotas.on_request(self._ctx.now, tenant)
 
-    def is_over(self, req: Pending) -> bool:
+    def is_over_quota(self, req: Pending) -> bool:
         """Whether this request exceeds its tenant's quota. Quotas apply in full only while the servers are
         overloaded: otherwise the excess takes nothing from the tenants within theirs."""
         tenant, now = req.event.tenant, self._ctx.now
--- a/shuntlead/wire.py
+++ b/shuntlead/wire.py
@@ -53,7 +53,9 @@
     entries: tuple[api.ListedEndpoint, ...]
 
 
-class ListRef(NamedTuple):  # an EndpointList event that refers to a NumberedList
+class ListRef(NamedTuple):
+    """An EndpointList event that refers to a NumberedList."""
+
     version: int
     form: int
     list_number: int
--- a/tests/scale_fleet/datagrams.py
+++ b/tests/scale_fleet/datagrams.py
@@ -10,7 +10,7 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from anisespool.fleet.shared_state import encode_verdicts
+from anisespool.fleet.shared_state import encode_ejections
 from anisespool.peers import FORMAT_VERSION, MAX_DATAGRAM_BYTES, shared_id
 from anisespool.state import peer_lists
 from shuntlead.interface import MAX_OBSERVATIONS, Ejection, Observation, Status
@@ -95,7 +95,7 @@
         tellers.append(own_s)
     for n in range(size):
         known.append(tellers[n] if n < len(tellers) else _quorum_s(draw, tellers, need, loss))
-    [data] = encode_verdicts([Ejection(1, FIRST_EJECTION_NS, Status.RESET)])
+    [data] = encode_ejections([Ejection(1, FIRST_EJECTION_NS, Status.RESET)])
     one = len(data) + HEADER_BYTES
     told = EJECTION_REPEATS + (FIRST_EJECTION_NS // EJECTION_RESEND_NS)
     zone = one * EJECTION_REPEATS * len(tellers) * (size / ZONES)
--- a/tests/test_datagram_failures.py
+++ b/tests/test_datagram_failures.py
@@ -37,9 +37,9 @@
     first, second = await opened(addresses, 0, lambda m: None), await opened(addresses, 1, heard.append)
     failing = FailingCall(monkeypatch, name, number, 3)
     for _ in range(4):
-        first.send_sightings(1, 0.5, SEEN)
+        first.send_observations(1, 0.5, SEEN)
     await until(lambda: failing.failed == 3)
-    first.send_sightings(1, 0.5, SEEN)
+    first.send_observations(1, 0.5, SEEN)
     await until(lambda: bool(heard))
     first.close()
     second.close()
--- a/tests/test_disk_ends.py
+++ b/tests/test_disk_ends.py
@@ -103,7 +103,7 @@
     """The store has what bound it before, as the later record waits for the disk."""
     recalled: list[list[int]] = []
     external = ExternalState(Servers({}, 0), lambda event: None)
-    external.recall = lambda remembered, pins: recalled.append([pin.key for pin in pins])  # type: ignore[method-assign]
+    external.restore = lambda state, pins: recalled.append([pin.key for pin in pins])  # type: ignore[method-assign]
     store, now = Store.open(tmp_path, "n0"), now_ms()
     assert store
     for key in (1, 2):
--- a/tests/test_drain_hearsay.py
+++ b/tests/test_drain_peer_lists.py
@@ -92,7 +92,7 @@
         for name in ("s-0", "s-1", "s-unlisted"):
             for peer in (1, 2):
                 verdict = api.Ejection(shared_id(name), 1, Status.RESET)
-                it.sidecar.external.on_peer_verdicts(peer, [verdict])
+                it.sidecar.external.on_peer_ejections(peer, [verdict])
         assert await it.reached() == {2, 3}
         it.orders["s-0"] = Order(False, NOW_MS)
         it.orders["s-1"] = Order(False, NOW_MS)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from anisespool.fleet.shared_state import RATES, clock_ms, encode_verdicts
+from anisespool.fleet.shared_state import RATES, clock_ms, encode_ejections
 from anisespool.peers import LOG_INTERVAL_S, shared_id
 from shuntlead.interface import Ejection, Status, TenantReport
 from shuntlead.members import EJECTION_RESEND_NS
@@ -206,7 +206,7 @@
             forged = tuple(TenantReport(n, 0, (6000.0,)) for n in range(3))
             ejections = [Ejection(shared_id(f"s-{n}"), 10**11, Status.RESET) for n in range(8)]
             forgery = RATES + encode_reports(forged, clock_ms() + k % 2 * 10**6)  # or from the future
-            for data in (forgery, *encode_verdicts(ejections), RATES, RATES + b"\xff" * 30, b"\x04\x00",
+            for data in (forgery, *encode_ejections(ejections), RATES, RATES + b"\xff" * 30, b"\x04\x00",
                          bytes(257)):  # fmt: skip
                 it.relay.deliver(1, 0, data)
             answered.append(await it.request(0, f"r{k}"))
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -131,7 +131,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(endpoints, "STALL_S", 0.1)
-    monkeypatch.setattr(endpoints, "SWEEP_S", 0.01)
+    monkeypatch.setattr(endpoints, "SWEEP_INTERVAL_S", 0.01)
     release = asyncio.Event()
 
     async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -45,13 +45,13 @@
     addresses, heard = free_addresses(2), list[api.PeerMessage]()
     first, second = await opened(addresses, 0, lambda m: None), await opened(addresses, 1, heard.append)
     for peer in (1, -1):  # -1: all
-        first.send_sightings(peer, 0.5, SEEN)
+        first.send_observations(peer, 0.5, SEEN)
         await until(lambda: bool(heard))
         message = heard.pop()
         assert (message.sender, len(message.observations)) == (0, api.MAX_OBSERVATIONS)
         assert message.pressure == pytest.approx(0.5, abs=0.01)
         assert message.observations[3].endpoint == shared_id("s-3")
-    first.send_sightings(7, 0.5, SEEN)  # there is none
+    first.send_observations(7, 0.5, SEEN)  # there is none
     first.close()
     second.close()
 
@@ -85,7 +85,7 @@
     opening = asyncio.create_task(new.open())
     while new._transport is None:
         old.close()
-        old.send_sightings(1, 0.5, ())  # for one request that is still being answered
+        old.send_observations(1, 0.5, ())  # for one request that is still being answered
         await asyncio.sleep(0.01)
     await opening
     with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as sender:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -12,7 +12,7 @@
 from anisespool.external_state import ExternalState
 from anisespool.servers import Servers
 from anisespool.state import crash_guard, learned_state, tables
-from anisespool.state.persisted_rows import LearnedRow, PersistedState, VerdictRow
+from anisespool.state.persisted_rows import EjectionRow, LearnedRow, PersistedState
 from anisespool.state.store import Order, Record, Store, now_ms, store_path
 from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import Status
@@ -109,12 +109,12 @@
     store, external = Store.open(tmp_path, "n0"), ExternalState(Servers({}, 0), lambda event: None)
     assert store
     upgrade_locks = UpgradeLocks(tmp_path, "n0")
-    verdict = VerdictRow("s-0", now_ms() + 60_000, Status.RESET)
+    verdict = EjectionRow("s-0", now_ms() + 60_000, Status.RESET)
     monkeypatch.setattr(external, "snapshot", lambda: PersistedState((), (verdict,)))
     following = asyncio.create_task(
         learned_state.LearnedState(store, upgrade_locks, external, keeps_pins=False).follow()
     )
-    external.on_remember()
+    external.on_snapshot()
     await until(lambda: [r.id for r in store.records(learned_state.VERDICT)] == ["s-0"])
     following.cancel()
     await asyncio.wait([following])
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -15,7 +15,7 @@
 import pytest
 
 from anisespool.config import Address
-from anisespool.fleet.shared_state import encode_verdicts
+from anisespool.fleet.shared_state import encode_ejections
 from anisespool.peers import LOG_INTERVAL_S, shared_id
 from anisespool.state import peer_lists
 from anisespool.state.learned_state import PIN, PIN_WRITE_INTERVAL_S, VERDICT
@@ -101,7 +101,7 @@
         rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
         ids = [shared_id(row["id"]) for row in rows]
         loop = asyncio.get_running_loop()
-        lies = encode_verdicts([Ejection(n, 10**10, Status.RESET) for n in ids])
+        lies = encode_ejections([Ejection(n, 10**10, Status.RESET) for n in ids])
         asked = []
 
         async def answer(n: int, sock: socket.socket) -> None:
