--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over just the tests that KNOWN-RED.txt lists, and prints them."""
+"""Marks the tests listed in KNOWN-RED.txt as strict expected failures, and reports them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from tests import known_red
 
 ENTRIES = pytest.StashKey[list[known_red.KnownFailure]]()
-RAN = pytest.StashKey[set[str]]()
+TESTS_RUN = pytest.StashKey[set[str]]()
 
 
 def _entries() -> list[known_red.KnownFailure]:
     try:
-        return known_red.read(known_red.PLACE.read_text()) if known_red.PLACE.exists() else []
+        return known_red.read(known_red.LIST_PATH.read_text()) if known_red.LIST_PATH.exists() else []
     except ValueError as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_configure(config: pytest.Config) -> None:
     config.stash[ENTRIES] = _entries()
-    config.stash[RAN] = set()
+    config.stash[TESTS_RUN] = set()
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
@@ -29,37 +29,37 @@
                 item.add_marker(pytest.mark.xfail(strict=True, reason=f"known red: {entry.cause}"))
 
 
-class _Seen:
-    """The tests whose reports have come, also from other processes."""
+class _ReportCollector:
+    """Collects the ids of the tests that ran, including those on xdist workers."""
 
     def __init__(self, config: pytest.Config) -> None:
         self._config = config
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        self._config.stash[RAN].add(report.nodeid)
+        self._config.stash[TESTS_RUN].add(report.nodeid)
 
 
 def pytest_sessionstart(session: pytest.Session) -> None:
-    session.config.pluginmanager.register(_Seen(session.config))
+    session.config.pluginmanager.register(_ReportCollector(session.config))
 
 
-def _is_whole_run(config: pytest.Config) -> bool:
+def _is_full_run(config: pytest.Config) -> bool:
     return not (config.getoption("keyword") or config.getoption("markexpr")) and list(config.args) == list(
         config.getini("testpaths")
     )
 
 
-def _missing(config: pytest.Config) -> list[known_red.KnownFailure]:
-    if not _is_whole_run(config):
+def _unmatched_entries(config: pytest.Config) -> list[known_red.KnownFailure]:
+    if not _is_full_run(config):
         return []
-    entries, ran = config.stash[ENTRIES], config.stash[RAN]
+    entries, ran = config.stash[ENTRIES], config.stash[TESTS_RUN]
     return known_red.unmatched(entries, ran)
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
     if hasattr(session.config, "workerinput"):
         return
-    if _missing(session.config):
+    if _unmatched_entries(session.config):
         session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
 
@@ -68,5 +68,5 @@
 ) -> None:
     for entry in config.stash[ENTRIES]:
         terminalreporter.write_line(f"known red: {entry.test}: {entry.cause} (issue {entry.issue})")
-    for entry in _missing(config):
+    for entry in _unmatched_entries(config):
         terminalreporter.write_line(f"KNOWN-RED.txt: matches no test: {entry.test}", red=True)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Several real sidecar processes on loopback, with a fault relay for the datagrams between them."""
+"""Runs several sidecar processes on loopback, with a fault-injecting relay for the datagrams between them."""
 
 from __future__ import annotations
 
@@ -22,86 +22,93 @@
 from tests.net import exchange, free_port, member_list, raw_call, settings_json
 from tests.test_admin import call, until_ready
 
-START_S = 8.0  # for a start to say READY, on a busy machine
+START_S = 8.0  # until a started process reports ready on a busy machine
 
 
 class Relay:
-    """Carries each datagram of sidecar X to Y by way of a socket of its own, so that Y sees it come from
-    where it reaches X. Faults are drawn from a seed."""
+    """Forwards the datagrams between sidecars, with one socket for each ordered pair (X, Y), so that Y sees a
+    datagram of X come from the address at which Y reaches X. Faults are drawn from the seed."""
 
     def __init__(self, count: int, seed: int = 7) -> None:
-        self.count, self._draw = count, random.Random(seed)
+        self.count, self._rng = count, random.Random(seed)
         self.listen = [Address("127.0.0.1", 0)] * count
         self.loss = self.duplicate = self.delay_s = 0.0
         self.cut: Callable[[int, int], bool] = lambda x, y: False
-        self.sent = [Counter[int]() for _ in range(count)]  # datagrams by their first byte
-        self._ways: dict[tuple[int, int], asyncio.DatagramTransport] = {}
+        self.sent = [Counter[int]() for _ in range(count)]  # datagrams by sender and first byte
+        self._transports: dict[tuple[int, int], asyncio.DatagramTransport] = {}
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
         self.listen = [Address("127.0.0.1", free_port()) for _ in range(self.count)]
         for x in range(self.count):
-            for y in range(-1, self.count):  # -1: the address that reaches all
-                make = partial(_Way, self, x, y)
-                way, _ = await loop.create_datagram_endpoint(make, local_addr=("127.0.0.1", 0))
-                self._ways[x, y] = way
+            for y in range(-1, self.count):  # -1: the broadcast address
+                make = partial(_RelayProtocol, self, x, y)
+                transport, _ = await loop.create_datagram_endpoint(make, local_addr=("127.0.0.1", 0))
+                self._transports[x, y] = transport
 
     def peers(self, x: int) -> dict[str, Any]:
-        """The addresses at which X reaches each sidecar, and all, as the configuration has them."""
-        ways = ["{}:{}".format(*self._ways[x, y].get_extra_info("sockname")) for y in range(-1, self.count)]
-        return {"peer_listen": "{}:{}".format(*self.listen[x]), "peers": ways[1:], "peers_all": ways[0]}
-
-    def sent_by(self, x: int, data: bytes, y: int) -> None:
+        """Returns the peer addresses of sidecar X in the form of its configuration."""
+        addresses = [
+            "{}:{}".format(*self._transports[x, y].get_extra_info("sockname")) for y in range(-1, self.count)
+        ]
+        return {
+            "peer_listen": "{}:{}".format(*self.listen[x]),
+            "peers": addresses[1:],
+            "peers_all": addresses[0],
+        }
+
+    def on_datagram(self, x: int, data: bytes, y: int) -> None:
         self.sent[x][data[0]] += 1
-        for each in range(self.count) if y < 0 else (y,):
-            if each != x:
-                self.carry(x, each, data)
+        for receiver in range(self.count) if y < 0 else (y,):
+            if receiver != x:
+                self.forward(x, receiver, data)
 
-    def carry(self, x: int, y: int, data: bytes) -> None:
-        if self.cut(x, y) or self._draw.random() < self.loss:
+    def forward(self, x: int, y: int, data: bytes) -> None:
+        if self.cut(x, y) or self._rng.random() < self.loss:
             return
-        for _ in range(1 + (self._draw.random() < self.duplicate)):
-            delay_s = self._draw.uniform(0.0, self.delay_s)  # so that datagrams overtake each other
+        for _ in range(1 + (self._rng.random() < self.duplicate)):
+            delay_s = self._rng.uniform(0.0, self.delay_s)  # allows reordering
             asyncio.get_running_loop().call_later(delay_s, self.deliver, x, y, data)
 
     def deliver(self, x: int, y: int, data: bytes) -> None:
-        if not self._ways[y, x].is_closing():
-            self._ways[y, x].sendto(data, self.listen[y])
+        if not self._transports[y, x].is_closing():
+            self._transports[y, x].sendto(data, self.listen[y])
 
     def close(self) -> None:
-        for way in self._ways.values():
-            way.abort()
+        for transport in self._transports.values():
+            transport.abort()
 
 
-class _Way(asyncio.DatagramProtocol):
+class _RelayProtocol(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay, x: int, y: int) -> None:
         self._relay, self._x, self._y = relay, x, y
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._relay.sent_by(self._x, data, self._y)
+        self._relay.on_datagram(self._x, data, self._y)
 
 
 class Fleet:
-    """Sidecars n0, n1, ... by number: each with its own state folder, address and operators' address."""
+    """Sidecars n0, n1, ... by number, each with its own state folder, listening address and admin address."""
 
     def __init__(self, folder: Path, relay: Relay) -> None:
         self._folder, self.relay, self._starts = folder, relay, 0
-        self.module, self.env = "anisespool", dict[str, str]()  # what is run, and variables beside its own
-        self.program: Path | None = None  # the checkout that is run; None: this one
+        # The module to run, and additional environment variables.
+        self.module, self.env = "anisespool", dict[str, str]()
+        self.program: Path | None = None  # checkout to run; None: this one
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.listen: dict[int, Address] = {}
         self.admin: dict[int, Address] = {}
-        self.discovery, self.rows = Address("", 0), list[dict[str, Any]]()  # as a test keeps them
+        self.discovery, self.rows = Address("", 0), list[dict[str, Any]]()  # maintained by the test
 
     async def start(self, n: int, discovery: Address, known: list[dict[str, Any]], revision: int = 1,
                     file_limit: int = 0, beside: int | None = None,
                     inherited: socket.socket | None = None, **changes: Any) -> float:  # fmt: skip
-        """Start sidecar N, or process N beside the one of that sidecar; the seconds from exec to READY."""
+        """Starts sidecar N, or process N beside that of sidecar `beside`. Returns the time to ready in s."""
         process, n = n, n if beside is None else beside
         home = self.home(n)
         home.mkdir(exist_ok=True)
         settings = settings_json(allowed__peers=True, fleet_size=self.relay.count, self_index=n, **changes)
-        self._starts += 1  # each start has a seed of its own
+        self._starts += 1  # a different seed for each start
         raw = {"seed": f"{self._starts:x}", "limits": {"sockets": 256}, "known": member_list(revision, known),
                "settings": settings} | self.relay.peers(n)  # fmt: skip
         (home / "config.json").write_text(json.dumps(raw))
@@ -130,7 +137,7 @@
         return asyncio.get_running_loop().time() - began
 
     async def kill(self, n: int, wipe: bool = False) -> None:
-        """SIGKILL, and with `wipe` the loss of its disk."""
+        """Sends SIGKILL; with `wipe`, also deletes its state folder."""
         process = self.processes.pop(n)
         process.send_signal(signal.SIGKILL)
         await process.wait()
@@ -147,7 +154,7 @@
         return (self.home(n) / "log").read_text()
 
     def home(self, n: int) -> Path:
-        """Its TMPDIR, which holds the state store."""
+        """Returns its TMPDIR, which holds the state store."""
         return self._folder / f"n{n}"
 
 
@@ -155,10 +162,10 @@
 async def fleet(folder: Path, count: int) -> AsyncIterator[Fleet]:
     relay = Relay(count)
     await relay.open()
-    it = Fleet(folder, relay)
+    started_fleet = Fleet(folder, relay)
     try:
-        yield it
+        yield started_fleet
     finally:
-        for n in list(it.processes):
-            await it.kill(n)
+        for n in list(started_fleet.processes):
+            await started_fleet.kill(n)
         relay.close()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The list of known failures, KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""Parses KNOWN-RED.txt, the list of tests that fail because of a known, unfixed bug.
 
-A line each: `TEST | CAUSE | ISSUE`, TEST being a node id of pytest, with or without its parameters. Lines
-that begin with # are comments. A listed test has to fail; an entry that matches no test fails the run.
+Each line has the form `TEST | CAUSE | ISSUE`, where TEST is a pytest node id with or without parameters.
+Lines starting with # are comments. A listed test must fail; an entry that matches no test fails the run.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-PLACE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST_ENTRIES = 3
+LIST_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_ENTRIES = 3
 
 
 class KnownFailure(NamedTuple):
@@ -24,20 +24,20 @@
 
 
 def read(text: str) -> list[KnownFailure]:
-    """The entries. ValueError: one has another form, or there are too many."""
+    """Parses the entries. Raises ValueError for a malformed entry or too many entries."""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     entries = []
     for line in lines:
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields):
-            raise ValueError(f"KNOWN-RED.txt: no `TEST | CAUSE | ISSUE`: {line!r}")
+            raise ValueError(f"KNOWN-RED.txt: line is not `TEST | CAUSE | ISSUE`: {line!r}")
         entries.append(KnownFailure(*fields))
-    if len(entries) > MOST_ENTRIES:
-        raise ValueError(f"KNOWN-RED.txt: {len(entries)} entries, {MOST_ENTRIES} are allowed")
+    if len(entries) > MAX_ENTRIES:
+        raise ValueError(f"KNOWN-RED.txt: {len(entries)} entries, at most {MAX_ENTRIES} allowed")
     return entries
 
 
 def unmatched(entries: Iterable[KnownFailure], node_ids: Iterable[str]) -> list[KnownFailure]:
-    """The entries that stand for none of the tests that ran."""
+    """Returns the entries that match none of the tests that ran."""
     ran = list(node_ids)
     return [entry for entry in entries if not any(entry.matches(node_id) for node_id in ran)]
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,2 +1,2 @@
-"""A seeded soak: real sidecar processes, stand-ins for discovery, servers and clients, faults drawn from the
-seed, judged from outside. `python -m tests.soak --help` plays it by hand."""
+"""A seeded soak test: real sidecar processes with fake discovery, servers and clients, faults drawn from the
+seed, and rules checked from outside the processes. Run it by hand with `python -m tests.soak --help`."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak by hand: `python -m tests.soak --seeds 1-50 --jobs 5`. Exit status 1 where a rule was broken."""
+"""Runs the soak test: `python -m tests.soak --seeds 1-50 --jobs 5`. Exits with 1 if a rule was violated."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import tempfile
 from pathlib import Path
 
-from tests.soak.plan import draw
-from tests.soak.play import Outcome, play
+from tests.soak.plan import draw_plan
+from tests.soak.run_plan import Outcome, run_plan
 
-SHOWN = 8  # violations of a run
+MAX_SHOWN = 8  # violations printed per run
 
 
 def _seeds(text: str) -> list[int]:
@@ -25,11 +25,11 @@
     async def one(seed: int) -> Outcome:
         async with places:
             home = folder / f"seed-{seed}"
-            shutil.rmtree(home, ignore_errors=True)  # a state store of another run would have its lists
+            shutil.rmtree(home, ignore_errors=True)  # an old state store would contain lists of another run
             home.mkdir(parents=True)
-            outcome = await play(draw(seed), home, program)
+            outcome = await run_plan(draw_plan(seed), home, program)
         print(outcome, flush=True)
-        for text in outcome.violations[:SHOWN]:
+        for text in outcome.violations[:MAX_SHOWN]:
             print(f"    {text}", flush=True)
         return outcome
 
@@ -38,17 +38,19 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
-    parser.add_argument("--seeds", type=_seeds, default=_seeds("1-50"), help="one, or a range: 1-50")
-    parser.add_argument("--jobs", type=int, default=4, help="runs at a time; two cores each")
-    parser.add_argument("--folder", type=Path, help="where logs stay; otherwise they go")
-    parser.add_argument("--program", type=Path, help="the checkout whose sidecar is run")
+    parser.add_argument(
+        "--seeds", type=_seeds, default=_seeds("1-50"), help="a seed or a range, such as 1-50"
+    )
+    parser.add_argument("--jobs", type=int, default=4, help="concurrent runs, two cores each")
+    parser.add_argument("--folder", type=Path, help="where to keep logs; default: a temporary folder")
+    parser.add_argument("--program", type=Path, help="checkout whose sidecar to run")
     given = parser.parse_args()
     with tempfile.TemporaryDirectory() as temporary:
         folder = given.folder or Path(temporary)
         outcomes = asyncio.run(_all(given.seeds, given.jobs, folder, given.program))
     broken = [outcome.plan.seed for outcome in outcomes if outcome.violations]
     requests = sum(outcome.requests for outcome in outcomes)
-    print(f"{len(outcomes)} seeds, {requests} requests, {len(broken)} with a broken rule: {broken}")
+    print(f"{len(outcomes)} seeds, {requests} requests, {len(broken)} with violations: {broken}")
     return 1 if broken else 0
 
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients' stand-ins: each keeps its connection for as long as it stays open, one request at a time."""
+"""Fake clients: each keeps its connection open and sends one request at a time."""
 
 from __future__ import annotations
 
@@ -12,77 +12,95 @@
 from anisespool.config import Address
 from tests.net import raw_call
 from tests.soak.plan import Plan
-from tests.soak.record import Asked, End, Record
+from tests.soak.record import ClientRequest, End, Record
 
 CLASSES = ("look", "look", "keyed", "once")
-GIVE_UP_S = 1.0  # past a request's time
-AGAIN_S = 0.05  # between two tries to connect
+CLIENT_TIMEOUT_SLACK_S = 1.0  # after a request's deadline
+RECONNECT_S = 0.05  # between connection attempts
 
 
 class Client:
     def __init__(
-        self, process: int, number: int, plan: Plan, record: Record, place: Callable[[], tuple[Address, int]]
+        self, process: int, number: int, plan: Plan, record: Record, locate: Callable[[], tuple[Address, int]]
     ) -> None:
-        """`place`: where its sidecar listens at present, and which life of it that is."""
+        """`locate` returns the current address of the sidecar and the index of its process run."""
         self._process, self._name, self._plan, self._record = process, f"{process}-{number}", plan, record
-        self._place, self._count = place, 0
+        self._locate, self._count = locate, 0
         self._rng = random.Random(f"{plan.seed}-client-{self._name}")
 
     async def run(self) -> None:
-        """For good."""
+        """Runs until cancelled."""
         while True:
-            address, life = self._place()
+            address, run_index = self._locate()
             try:
                 reader, writer = await asyncio.open_connection(*address)
             except OSError:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_S)
                 continue
             try:
-                await self._converse(reader, writer, life)
+                await self._exchange(reader, writer, run_index)
             finally:
                 writer.transport.abort()
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, life: int) -> None:
-        """Until the connection ends."""
-        is_first = True
+    async def _exchange(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, run_index: int
+    ) -> None:
+        """Sends requests until the connection ends."""
+        is_first_on_connection = True
         while not reader.at_eof():
             await asyncio.sleep(self._rng.expovariate(1 / self._plan.think_s))
             if reader.at_eof() or writer.is_closing():
                 return
-            asked = self._ask(writer, life, is_first)
-            leaves_s = self._rng.uniform(0.0, asked.left_s) if self._rng.random() < self._plan.leaves else 0.0
-            await self._answer(asked, reader, leaves_s)
-            if asked.end is not End.ANSWERED:
+            request = self._ask(writer, run_index, is_first_on_connection)
+            abandon_after_s = (
+                self._rng.uniform(0.0, request.left_s)
+                if self._rng.random() < self._plan.abandon_rate
+                else 0.0
+            )
+            await self._answer(request, reader, abandon_after_s)
+            if request.end is not End.ANSWERED:
                 return
-            is_first = False
+            is_first_on_connection = False
 
-    def _ask(self, writer: asyncio.StreamWriter, life: int, is_first: bool) -> Asked:
+    def _ask(
+        self, writer: asyncio.StreamWriter, run_index: int, is_first_on_connection: bool
+    ) -> ClientRequest:
         self._count += 1
         trace, cls = f"{self._name}-{self._count}", self._rng.choice(CLASSES)
         left_s = self._plan.deadline_s * self._rng.uniform(0.5, 1.0)
         headers = f"Idempotency-Key: {trace}\r\n" if cls == "keyed" else ""
         writer.write(raw_call(cls, trace, int(left_s * 1000), b"ok" if cls != "look" else b"", headers))
-        asked = Asked(trace, cls, self._process, life, monotonic(), int(left_s * 1000) / 1000, is_first)
-        self._record.asked[trace] = asked
-        return asked
+        request = ClientRequest(
+            trace,
+            cls,
+            self._process,
+            run_index,
+            monotonic(),
+            int(left_s * 1000) / 1000,
+            is_first_on_connection,
+        )
+        self._record.requests[trace] = request
+        return request
 
-    async def _answer(self, asked: Asked, reader: asyncio.StreamReader, leaves_s: float) -> None:
+    async def _answer(
+        self, request: ClientRequest, reader: asyncio.StreamReader, abandon_after_s: float
+    ) -> None:
         parser, end = http1.ResponseParser(), End.CLOSED
         try:
-            async with asyncio.timeout(leaves_s or asked.left_s + GIVE_UP_S):
+            async with asyncio.timeout(abandon_after_s or request.left_s + CLIENT_TIMEOUT_SLACK_S):
                 while data := await reader.read(65536):
                     if response := parser.feed(data):
-                        end, asked.status = End.ANSWERED, response.status
+                        end, request.status = End.ANSWERED, response.status
                         break
         except TimeoutError:
-            end = End.LEFT if leaves_s else End.CLOSED
+            end = End.LEFT if abandon_after_s else End.CLOSED
         except OSError:
-            asked.was_reset = True
-        asked.end, asked.end_s = end, monotonic()
+            request.was_reset = True
+        request.end, request.end_s = end, monotonic()
 
 
-async def crowd(address: Address, count: int, length_s: float) -> None:
-    """Idle clients, and some that write what is no request."""
+async def open_idle_connections(address: Address, count: int, length_s: float) -> None:
+    """Opens idle connections, some of which send a malformed request."""
     writers: list[asyncio.StreamWriter] = []
     try:
         for n in range(count):
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's stand-in: one history of revisions, at two addresses for each process, with faults."""
+"""Fake discovery: one history of revisions, served at two addresses per process, with faults."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from tests.soak.plan import OUTAGES, DiscoveryFault, Fault, Plan
 from tests.soak.record import Record, Row
 
-SIGN_S = 2.0  # between two empty lines
-LOOK_S = 0.01
+HEARTBEAT_S = 2.0  # between two empty keep-alive lines
+POLL_S = 0.01
 
 
 class History:
-    """The list, revision by revision, and when discovery had each."""
+    """The list at each revision, and when discovery published it."""
 
     def __init__(self) -> None:
         self.states: list[dict[str, Row]] = []
-        self.had_s: list[float] = []
+        self.published_s: list[float] = []
 
     def add(self, state: dict[str, Row]) -> None:
         self.states.append(state)
-        self.had_s.append(monotonic())
+        self.published_s.append(monotonic())
 
     def change(self, server: str, address: Address, phase: str, since_ms: int) -> None:
         state = dict(self.states[-1])
@@ -37,7 +37,7 @@
         self.add(state)
 
     def revision_at(self, at_s: float) -> int:
-        return max(0, sum(had_s <= at_s for had_s in self.had_s) - 1)
+        return max(0, sum(published_s <= at_s for published_s in self.published_s) - 1)
 
     def changes(self, after: int, revision: int) -> list[Row]:
         old, new = self.states[after], self.states[revision]
@@ -45,8 +45,8 @@
         return gone + [row for server, row in new.items() if old.get(server) != row]
 
 
-class View:
-    """Discovery as one process finds it at one address."""
+class DiscoveryEndpoint:
+    """The discovery endpoint of one process at one of its two addresses."""
 
     def __init__(self, process: int, lag_s: float, plan: Plan, history: History, record: Record) -> None:
         self.process, self.lag_s, self.address = process, lag_s, Address("", 0)
@@ -96,19 +96,19 @@
             elif self._outage is Fault.REFUSED:
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             elif self._outage is Fault.HUNG:
-                await reader.read()  # until the caller gives up
+                await reader.read()  # until the client gives up
             else:
                 await self._watch(int(request.target.rpartition(b"=")[2]), reader, writer)
         if not writer.is_closing():
             writer.close()
 
     async def _watch(self, index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Until either side ends it: what is written to a caller that has closed is not told."""
+        """Streams changes until either side ends it. Writes after the client has closed are not recorded."""
         self._watches.add(writer)
         try:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             revision = self._first(index, writer)
-            signed_s = monotonic()
+            heartbeat_s = monotonic()
             while not (writer.is_closing() or reader.at_eof()):
                 now_s, latest = monotonic(), self._latest()
                 if writer in self._silent:
@@ -116,12 +116,12 @@
                 elif latest > revision:
                     if writer in self._ending:
                         return
-                    self._say(writer, latest, self._history.changes(revision, latest), complete=False)
-                    revision, signed_s = latest, now_s
-                elif now_s >= signed_s + SIGN_S:
+                    self._send_list(writer, latest, self._history.changes(revision, latest), complete=False)
+                    revision, heartbeat_s = latest, now_s
+                elif now_s >= heartbeat_s + HEARTBEAT_S:
                     self._write(writer, b"\n")
-                    signed_s = now_s
-                await asyncio.sleep(LOOK_S)
+                    heartbeat_s = now_s
+                await asyncio.sleep(POLL_S)
         finally:
             for kept in (self._watches, self._silent, self._ending):
                 kept.discard(writer)
@@ -130,23 +130,25 @@
         return self._history.revision_at(monotonic() - self.lag_s)
 
     def _first(self, index: int, writer: asyncio.StreamWriter) -> int:
-        """What has changed after that version, or else the whole list."""
+        """Sends the changes after revision `index`, or the full list. Returns the revision sent."""
         latest = self._latest()
         if index == latest:
             return latest
-        if index > latest or self._rng.random() < self._plan.whole:
+        if index > latest or self._rng.random() < self._plan.full_list_rate:
             rows = list(self._history.states[latest].values())
-            if self._plan.leaves_out:
+            if self._plan.omits_draining:
                 rows = [row for row in rows if row["phase"] == "up"]
-            self._say(writer, latest, rows, complete=True)
+            self._send_list(writer, latest, rows, complete=True)
         else:
-            self._say(writer, latest, self._history.changes(index, latest), complete=False)
+            self._send_list(writer, latest, self._history.changes(index, latest), complete=False)
         return latest
 
-    def _say(self, writer: asyncio.StreamWriter, revision: int, rows: list[Any], complete: bool) -> None:
+    def _send_list(
+        self, writer: asyncio.StreamWriter, revision: int, rows: list[Any], complete: bool
+    ) -> None:
         self._write(writer, json.dumps(member_list(revision, rows, complete)).encode() + b"\n")
         if not writer.is_closing():
-            self._record.wrote(self.process, revision, monotonic())
+            self._record.record_write(self.process, revision, monotonic())
 
     @staticmethod
     def _write(writer: asyncio.StreamWriter, line: bytes) -> None:
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a soak plays: everything is drawn from the seed."""
+"""The plan of a soak run, drawn entirely from the seed."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 from tests.support import MS, SECOND, raw_settings
 
-GRACE_S = 0.5  # of the rule on drains, as the settings of the soak have it
+GRACE_S = 0.5  # drain grace in the settings of the soak
 LENGTH_S = 22.0
-QUIET_S = 1.5  # before the first fault
-LEAST_UP = 2  # servers that are always in use
+FIRST_FAULT_S = 1.5  # before the first fault
+MIN_UP_SERVERS = 2  # servers that never drain
 
 
 class Fault(Enum):
-    """What happens to discovery, for some of the processes or all."""
+    """A fault of discovery, for some or all processes."""
 
-    SILENT = auto()  # the watches that are open say nothing more
-    RESET = auto()  # the watches that are open are reset
-    ENDS = auto()  # the watches that are open end in place of telling the next change
-    REFUSED = auto()  # and watches end: calls are answered 503
-    HUNG = auto()  # and watches end: calls are not answered
-    DOWN = auto()  # and watches are reset: calls are reset
+    SILENT = auto()  # open watches send nothing more
+    RESET = auto()  # open watches are reset
+    ENDS = auto()  # open watches end instead of sending the next change
+    REFUSED = auto()  # watches end and calls are answered with 503
+    HUNG = auto()  # watches end and calls are not answered
+    DOWN = auto()  # watches and calls are reset
 
 
 OUTAGES = (Fault.REFUSED, Fault.HUNG, Fault.DOWN)
 
 
-class Act(Enum):
-    """What happens to a process."""
+class ProcessFault(Enum):
+    """An event for a sidecar process."""
 
-    TERMINATE = auto()  # SIGTERM, SIGKILL as soon as it may come, and a start
-    KILL = auto()  # SIGKILL and a start with an empty disk
-    MOVE = auto()  # SIGHUP: discovery at the other address
-    MOVE_HALF = auto()  # ... with the file half written at the signal
-    STALL = auto()  # stopped for up to 0.15 s
-    CROWD = auto()  # idle clients, more than it has descriptors for
+    TERMINATE = auto()  # SIGTERM, SIGKILL at the earliest permitted time, restart
+    KILL = auto()  # SIGKILL, restart with an empty state folder
+    MOVE = auto()  # SIGHUP, with the other discovery address configured
+    MOVE_HALF = auto()  # as MOVE, with the file half written at the signal
+    STALL = auto()  # SIGSTOP for up to 0.15 s
+    CROWD = auto()  # more idle clients than it has descriptors
 
 
 @dataclass(frozen=True)
@@ -45,25 +45,25 @@
     at_s: float
     kind: Fault
     length_s: float  # of an outage
-    spared: int | None  # the process that it does not concern; None: it concerns all
+    spared: int | None  # the unaffected process; None: all are affected
 
 
 @dataclass(frozen=True)
 class ProcessEvent:
     at_s: float
-    act: Act
+    kind: ProcessFault
     process: int
 
 
 @dataclass(frozen=True)
 class ServerEvent:
-    """A server drains, is removed so much later, and is back as a new process after that."""
+    """A server drains for `drains_s`, is removed for `away_s`, and returns as a new process."""
 
     at_s: float
     server: int
     drains_s: float
     away_s: float
-    hangs: bool  # it answers nothing from then on
+    hangs: bool  # it stops answering when the drain begins
 
 
 @dataclass
@@ -72,20 +72,20 @@
     processes: int
     servers: int
     deadline_s: float
-    clients: int  # of each process
-    think_s: float  # a client's mean pause between two requests
-    leaves: float  # part of the requests whose client does not wait for the answer
-    loss: float  # part of the datagrams between processes
-    share: float  # of a core for each process; 1.0: as much as it wants
-    lag_s: float  # by which discovery's second address is behind
-    whole: float  # part of the calls that are answered with the whole list
-    leaves_out: bool  # whole lists leave out what drains
+    clients: int  # per process
+    think_s: float  # a client's mean pause between requests
+    abandon_rate: float  # fraction of requests whose client disconnects before the answer
+    loss: float  # fraction of datagrams lost between processes
+    cpu_share: float  # of a core per process; 1.0: unlimited
+    lag_s: float  # delay of discovery's second address
+    full_list_rate: float  # fraction of calls answered with the full list
+    omits_draining: bool  # full lists omit draining servers
     faults: list[DiscoveryFault] = field(default_factory=list)
-    acts: list[ProcessEvent] = field(default_factory=list)
+    process_events: list[ProcessEvent] = field(default_factory=list)
     changes: list[ServerEvent] = field(default_factory=list)
 
     def settings(self) -> dict[str, Any]:
-        """Changes of the tests' settings, as tests.support.raw_settings takes them."""
+        """Returns changes for tests.support.raw_settings."""
         times = {
             "deadline-ns": int(self.deadline_s * SECOND),
             "target-ns": int(0.5 * self.deadline_s * SECOND),
@@ -98,7 +98,7 @@
         }
 
 
-def draw(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
     rng = random.Random(seed)
     short = rng.random() < 0.5
     plan = Plan(
@@ -108,23 +108,23 @@
         deadline_s=rng.uniform(0.3, 0.9) if short else rng.uniform(1.5, 5.0),
         clients=rng.randint(4, 8),
         think_s=rng.uniform(0.08, 0.2),
-        leaves=rng.choice((0.0, 0.05)),
+        abandon_rate=rng.choice((0.0, 0.05)),
         loss=rng.choice((0.0, 0.1, 0.3)),
-        share=rng.choice((1.0, 1.0, 1.0, 0.25)),
+        cpu_share=rng.choice((1.0, 1.0, 1.0, 0.25)),
         lag_s=rng.choice((0.0, 0.0, 1.0, 2.0, 4.0)),
-        whole=rng.choice((0.1, 0.9)),
-        leaves_out=rng.random() < 0.5,
+        full_list_rate=rng.choice((0.1, 0.9)),
+        omits_draining=rng.random() < 0.5,
     )
     plan.changes = _changes(rng, plan)
     plan.faults = _faults(rng, plan)
-    plan.acts = _acts(rng, plan)
+    plan.process_events = _process_events(rng, plan)
     return plan
 
 
 def _changes(rng: random.Random, plan: Plan) -> list[ServerEvent]:
-    """One server after another, so that enough are up at any time."""
-    changes, at_s = [], QUIET_S
-    for n in rng.sample(range(LEAST_UP, plan.servers), plan.servers - LEAST_UP):
+    """Replaces servers one after another, so that enough are up at any time."""
+    changes, at_s = [], FIRST_FAULT_S
+    for n in rng.sample(range(MIN_UP_SERVERS, plan.servers), plan.servers - MIN_UP_SERVERS):
         at_s += rng.uniform(0.3, 4.0)
         hangs = rng.random() < 0.2
         drains_s, away_s = rng.uniform(1.0, 8.0), rng.uniform(0.5, 4.0)
@@ -133,7 +133,7 @@
 
 
 def _faults(rng: random.Random, plan: Plan) -> list[DiscoveryFault]:
-    faults, at_s = [], QUIET_S
+    faults, at_s = [], FIRST_FAULT_S
     while (at_s := at_s + rng.uniform(0.2, 4.0)) < LENGTH_S - 4.0:
         kind = rng.choice(list(Fault))
         spared = rng.randrange(plan.processes) if rng.random() < 0.5 else None
@@ -143,9 +143,18 @@
     return faults
 
 
-def _acts(rng: random.Random, plan: Plan) -> list[ProcessEvent]:
-    kinds = [Act.TERMINATE, Act.TERMINATE, Act.KILL, Act.MOVE, Act.MOVE, Act.MOVE_HALF, Act.STALL, Act.CROWD]
-    acts, at_s = [], QUIET_S
+def _process_events(rng: random.Random, plan: Plan) -> list[ProcessEvent]:
+    kinds = [
+        ProcessFault.TERMINATE,
+        ProcessFault.TERMINATE,
+        ProcessFault.KILL,
+        ProcessFault.MOVE,
+        ProcessFault.MOVE,
+        ProcessFault.MOVE_HALF,
+        ProcessFault.STALL,
+        ProcessFault.CROWD,
+    ]
+    process_events, at_s = [], FIRST_FAULT_S
     while (at_s := at_s + rng.uniform(0.1, 3.0)) < LENGTH_S - 5.0:
-        acts.append(ProcessEvent(at_s, rng.choice(kinds), rng.randrange(plan.processes)))
-    return acts
+        process_events.append(ProcessEvent(at_s, rng.choice(kinds), rng.randrange(plan.processes)))
+    return process_events
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -1,4 +1,4 @@
-"""What is seen from outside the sidecars; times in monotonic seconds."""
+"""Events observed from outside the sidecars. Times are in monotonic seconds."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
     OPEN = auto()  # not yet
     ANSWERED = auto()
     LEFT = auto()  # the client closed its connection
-    CLOSED = auto()  # the sidecar ended the connection, or the client gave up late, with no whole answer
+    CLOSED = auto()  # no complete answer: the sidecar closed the connection, or the client timed out
 
 
 @dataclass
-class Asked:
-    """One request, as its client wrote it; the last byte at `at_s`."""
+class ClientRequest:
+    """A request as its client sent it; the last byte was written at `at_s`."""
 
     trace: str
     cls: str
     process: int
-    life: int  # which of the process's lives
+    run_index: int  # index into the process's runs
     at_s: float
     left_s: float
-    is_first: bool  # on its connection
+    is_first_on_connection: bool
     end: End = End.OPEN
     end_s: float = 0.0
     status: int = 0
-    was_reset: bool = False  # the connection ended at once, so that the request may not have been read
+    was_reset: bool = False  # the connection was reset, so the request may not have been read
 
 
 @dataclass
 class Received:
-    """A request as a server's stand-in received it."""
+    """A request as a fake server received it."""
 
     server: int
     start_ms: int  # of the server's process
     first_byte_s: float
     trace: str = ""
-    told_s: float = 0.0  # how long the sidecar will wait
-    never_ran: bool = False  # it was turned away
+    announced_s: float = 0.0  # remaining time announced by the sidecar
+    never_ran: bool = False  # the server rejected it without running it
 
 
 @dataclass
-class Life:
-    """One process of a sidecar."""
+class ProcessRun:
+    """One run of a sidecar process, from start to exit."""
 
     began_s: float
     ready_s: float = 0.0
@@ -61,19 +61,20 @@
 
 @dataclass
 class Record:
-    asked: dict[str, Asked] = field(default_factory=dict)
+    requests: dict[str, ClientRequest] = field(default_factory=dict)
     received: list[Received] = field(default_factory=list)
-    lives: dict[int, list[Life]] = field(default_factory=dict)
-    # By process: when a line that has this revision's change was written to it.
+    process_runs: dict[int, list[ProcessRun]] = field(default_factory=dict)
+    # By process and revision: when a line containing the revision was written to the process.
     written: dict[int, dict[int, float]] = field(default_factory=dict)
-    moves: dict[int, list[float]] = field(default_factory=dict)  # by process: SIGHUP to the other address
-    silences: dict[int, list[float]] = field(default_factory=dict)  # by process: a watch fell silent
-    outages: list[tuple[float, float]] = field(default_factory=list)  # of discovery, for all processes
-
-    def wrote(self, process: int, revision: int, at_s: float) -> None:
-        """All up to this revision has been written to that process."""
-        told = self.written.setdefault(process, {})
-        for each in range(revision, -1, -1):
-            if each in told:
+    # By process: when SIGHUP switched it to its other discovery address.
+    moves: dict[int, list[float]] = field(default_factory=dict)
+    silences: dict[int, list[float]] = field(default_factory=dict)  # by process: when a watch became silent
+    outages: list[tuple[float, float]] = field(default_factory=list)  # of discovery, affecting all processes
+
+    def record_write(self, process: int, revision: int, at_s: float) -> None:
+        """Records that all changes up to this revision have been written to the process."""
+        written = self.written.setdefault(process, {})
+        for listed in range(revision, -1, -1):
+            if listed in written:
                 break
-            told[each] = at_s
+            written[listed] = at_s
--- a/tests/soak/play.py
+++ b/tests/soak/run_plan.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a plan in, what broke the rules out."""
+"""Runs a plan of the soak test and reports rule violations."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from anisespool.config import Address
 from tests.fleet import Fleet, Relay
 from tests.net import member
-from tests.soak.clients import Client, crowd
-from tests.soak.discovery import History, View
-from tests.soak.judge import Judge
-from tests.soak.plan import LENGTH_S, OUTAGES, Act, DiscoveryFault, Plan, ProcessEvent, ServerEvent
-from tests.soak.record import End, Life, Record
+from tests.soak.clients import Client, open_idle_connections
+from tests.soak.discovery import DiscoveryEndpoint, History
+from tests.soak.plan import LENGTH_S, OUTAGES, DiscoveryFault, Plan, ProcessEvent, ProcessFault, ServerEvent
+from tests.soak.record import End, ProcessRun, Record
+from tests.soak.rule_checker import RuleChecker
 from tests.soak.servers import Server
 
-LONGEST_COUNTED_S, KILL_AFTER_S = 3.0, 0.7  # from SIGTERM to SIGKILL, by the protocol
-SLICE_S = 0.04  # of a process's share of a core
+MAX_COUNTED_DEADLINE_S, KILL_AFTER_S = 3.0, 0.7  # from SIGTERM to SIGKILL, as in the shutdown protocol
+THROTTLE_PERIOD_S = 0.04  # period of the CPU throttle
 STALL_S = 0.15
-CROWD, CROWD_S = 300, 3.0
+IDLE_CLIENTS, IDLE_CLIENTS_S = 300, 3.0
 HALF_WRITTEN_S = 0.05
 
 Event = DiscoveryFault | ProcessEvent | ServerEvent
@@ -49,16 +49,16 @@
         return f"seed {self.plan.seed}: {size}: {self.requests} requests ({answers}), broken: {broken}"
 
 
-class Play:
+class Simulation:
     def __init__(self, plan: Plan, fleet: Fleet) -> None:
         self.plan, self.fleet = plan, fleet
         self.history, self.record = History(), Record()
         self.servers = [Server(n, plan.seed, self.record) for n in range(plan.servers)]
         self.views = [
-            [View(n, lag_s, plan, self.history, self.record) for lag_s in (0.0, plan.lag_s)]
+            [DiscoveryEndpoint(n, lag_s, plan, self.history, self.record) for lag_s in (0.0, plan.lag_s)]
             for n in range(plan.processes)
         ]
-        self.at = [0] * plan.processes  # which of its two addresses of discovery a process is at
+        self.discovery_index = [0] * plan.processes  # by process: the discovery address in use
         self._ending = [False] * plan.processes
         self._rng = random.Random(f"{plan.seed}-play")
 
@@ -78,13 +78,13 @@
                     for n in range(self.plan.processes)
                     for m in range(self.plan.clients)
                 ]
-                slices = [tasks.create_task(self._slice(n)) for n in range(self.plan.processes)]
+                throttles = [tasks.create_task(self._throttle(n)) for n in range(self.plan.processes)]
                 await self._events()
-                for task in clients + slices:
+                for task in clients + throttles:
                     task.cancel()
 
     def _place(self, process: int) -> Callable[[], tuple[Address, int]]:
-        return lambda: (self.fleet.listen[process], len(self.record.lives[process]) - 1)
+        return lambda: (self.fleet.listen[process], len(self.record.process_runs[process]) - 1)
 
     async def _events(self) -> None:
         began_s = monotonic()
@@ -94,12 +94,12 @@
             if isinstance(event, DiscoveryFault):
                 await self._fault(event)
             elif isinstance(event, ServerEvent):
-                await self._change(event)
+                await self._replace_server(event)
             else:
                 await self._act(event)
 
         async with asyncio.TaskGroup() as events:
-            planned: list[Event] = [*self.plan.faults, *self.plan.acts, *self.plan.changes]
+            planned: list[Event] = [*self.plan.faults, *self.plan.process_events, *self.plan.changes]
             for event in planned:
                 events.create_task(at(event))
             events.create_task(asyncio.sleep(LENGTH_S))
@@ -119,7 +119,7 @@
         if fault.spared is None:
             self.record.outages.append((began_s, monotonic()))
 
-    async def _change(self, event: ServerEvent) -> None:
+    async def _replace_server(self, event: ServerEvent) -> None:
         server = self.servers[event.server]
         server.is_draining, server.hangs = True, event.hangs
         self.history.change(server.id, server.address, "draining", server.start_ms)
@@ -133,79 +133,79 @@
     # Processes --------------------------------------------------------------------------------------------
 
     async def _start(self, n: int) -> None:
-        told = max(self.record.written.get(n, {0: 0.0}))
-        life = Life(monotonic())
-        self.record.lives.setdefault(n, []).append(life)
-        self.record.wrote(n, told, life.began_s)
-        rows = list(self.history.states[told].values())
-        address = self.views[n][self.at[n]].address
-        await self.fleet.start(n, address, rows, told, **self.plan.settings())
-        life.ready_s = monotonic()
+        revision = max(self.record.written.get(n, {0: 0.0}))
+        run = ProcessRun(monotonic())
+        self.record.process_runs.setdefault(n, []).append(run)
+        self.record.record_write(n, revision, run.began_s)
+        rows = list(self.history.states[revision].values())
+        address = self.views[n][self.discovery_index[n]].address
+        await self.fleet.start(n, address, rows, revision, **self.plan.settings())
+        run.ready_s = monotonic()
 
     async def _act(self, event: ProcessEvent) -> None:
         n = event.process
-        if self._ending[n] or not self.record.lives[n][-1].ready_s:
+        if self._ending[n] or not self.record.process_runs[n][-1].ready_s:
             return
-        if event.act in (Act.TERMINATE, Act.KILL):
+        if event.kind in (ProcessFault.TERMINATE, ProcessFault.KILL):
             self._ending[n] = True
-            await (self._terminate(n) if event.act is Act.TERMINATE else self._kill(n))
+            await (self._terminate(n) if event.kind is ProcessFault.TERMINATE else self._kill(n))
             await self._start(n)
             self._ending[n] = False
-        elif event.act in (Act.MOVE, Act.MOVE_HALF):
-            await self._move(n, half=event.act is Act.MOVE_HALF)
-        elif event.act is Act.STALL:
+        elif event.kind in (ProcessFault.MOVE, ProcessFault.MOVE_HALF):
+            await self._move(n, half=event.kind is ProcessFault.MOVE_HALF)
+        elif event.kind is ProcessFault.STALL:
             self._signal(n, signal.SIGSTOP)
             await asyncio.sleep(self._rng.uniform(0.02, STALL_S))
             self._signal(n, signal.SIGCONT)
         else:
-            await crowd(self.fleet.listen[n], CROWD, CROWD_S)
+            await open_idle_connections(self.fleet.listen[n], IDLE_CLIENTS, IDLE_CLIENTS_S)
 
     async def _terminate(self, n: int) -> None:
-        """Signals in series; SIGKILL at the earliest that the protocol has."""
-        process, life = self.fleet.processes[n], self.record.lives[n][-1]
-        life.term_s = monotonic()
+        """Sends SIGTERM, sometimes further signals, and SIGKILL at the earliest permitted time."""
+        process, run = self.fleet.processes[n], self.record.process_runs[n][-1]
+        run.term_s = monotonic()
         self._signal(n, signal.SIGTERM)
         if self._rng.random() < 0.3:
             await asyncio.sleep(self._rng.uniform(0.0, 0.2))
             self._signal(n, self._rng.choice((signal.SIGHUP, signal.SIGTERM)))
-        kill_s = life.term_s + min(self.plan.deadline_s, LONGEST_COUNTED_S) + KILL_AFTER_S
+        kill_s = run.term_s + min(self.plan.deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_AFTER_S
         with suppress(TimeoutError):
             async with asyncio.timeout(kill_s - monotonic()):
                 await process.wait()
         if process.returncode is None:
-            life.killed_s = monotonic()
+            run.killed_s = monotonic()
             self._signal(n, signal.SIGKILL)
-        life.status, life.ended_s = await process.wait(), monotonic()
+        run.status, run.ended_s = await process.wait(), monotonic()
 
     async def _kill(self, n: int) -> None:
-        life = self.record.lives[n][-1]
-        life.killed_s = life.ended_s = monotonic()
+        run = self.record.process_runs[n][-1]
+        run.killed_s = run.ended_s = monotonic()
         await self.fleet.kill(n, wipe=True)
 
     async def _move(self, n: int, half: bool) -> None:
-        self.at[n] = 1 - self.at[n]
-        place = self.fleet.home(n) / "config.json"
-        address = self.views[n][self.at[n]].address
-        text = json.dumps(json.loads(place.read_text()) | {"discovery": "{}:{}".format(*address)})
+        self.discovery_index[n] = 1 - self.discovery_index[n]
+        path = self.fleet.home(n) / "config.json"
+        address = self.views[n][self.discovery_index[n]].address
+        text = json.dumps(json.loads(path.read_text()) | {"discovery": "{}:{}".format(*address)})
         if half:
-            place.write_text(text[: len(text) // 2])
+            path.write_text(text[: len(text) // 2])
         else:
-            place.with_suffix(".new").write_text(text)
-            os.replace(place.with_suffix(".new"), place)
+            path.with_suffix(".new").write_text(text)
+            os.replace(path.with_suffix(".new"), path)
         self.record.moves.setdefault(n, []).append(monotonic())
         self._signal(n, signal.SIGHUP)
         if half:
             await asyncio.sleep(HALF_WRITTEN_S)
-            place.write_text(text)
+            path.write_text(text)
 
-    async def _slice(self, n: int) -> None:
-        """Hold the process to its share of a core."""
-        share = self.plan.share
-        while share < 1.0:
+    async def _throttle(self, n: int) -> None:
+        """Limits the process to its CPU share with SIGSTOP and SIGCONT."""
+        cpu_share = self.plan.cpu_share
+        while cpu_share < 1.0:
             self._signal(n, signal.SIGSTOP)
-            await asyncio.sleep((1 - share) * SLICE_S)
+            await asyncio.sleep((1 - cpu_share) * THROTTLE_PERIOD_S)
             self._signal(n, signal.SIGCONT)
-            await asyncio.sleep(share * SLICE_S)
+            await asyncio.sleep(cpu_share * THROTTLE_PERIOD_S)
 
     def _signal(self, n: int, number: signal.Signals) -> None:
         process = self.fleet.processes.get(n)
@@ -214,24 +214,24 @@
                 process.send_signal(number)
 
 
-async def play(plan: Plan, folder: Path, program: Path | None = None) -> Outcome:
-    """`program`: the checkout whose sidecar is run, this one if None."""
+async def run_plan(plan: Plan, folder: Path, program: Path | None = None) -> Outcome:
+    """`program`: checkout whose sidecar to run; None: this one."""
     relay = Relay(plan.processes, plan.seed)
     relay.loss = plan.loss
     await relay.open()
     fleet = Fleet(folder, relay)
     fleet.program = program
-    it = Play(plan, fleet)
+    simulation = Simulation(plan, fleet)
     try:
-        await it.run()
+        await simulation.run()
         for n, process in fleet.processes.items():
             if process.returncode is not None:
-                it.record.lives[n][-1].status = process.returncode
+                simulation.record.process_runs[n][-1].status = process.returncode
     finally:
         for n in list(fleet.processes):
             await fleet.kill(n)
         relay.close()
-    asked = it.record.asked.values()
-    answers = Counter(each.status for each in asked if each.end is End.ANSWERED)
-    violations = Judge(plan, it.history, it.record).violations()
-    return Outcome(plan, violations, len(asked), dict(answers), len(it.record.received))
+    requests = simulation.record.requests.values()
+    answers = Counter(each.status for each in requests if each.end is End.ANSWERED)
+    violations = RuleChecker(plan, simulation.history, simulation.record).violations()
+    return Outcome(plan, violations, len(requests), dict(answers), len(simulation.record.received))
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Servers' stand-ins: each reports the first byte of every request that it gets."""
+"""Fake servers: each records when the first byte of every request arrives."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from tests.net import free_port
 from tests.soak.record import Received, Record
 
-WORK_S = 0.015  # mean
+WORK_S = 0.015  # mean service time
 OK = b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=0\r\nContent-Length: 2\r\n\r\nok"
 TURNED_AWAY = b"HTTP/1.1 503 Draining\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Server:
-    """One id and address over its processes."""
+    """A server that keeps its id and address across restarts."""
 
     def __init__(self, number: int, seed: int, record: Record) -> None:
         self.number, self.address = number, Address("127.0.0.1", free_port())
-        self.start_ms = 0  # of its process; 0: long ago
+        self.start_ms = 0  # start time of its process; 0: long ago
         self.is_draining = self.hangs = False
         self._rng, self._record = random.Random(f"{seed}-server-{number}"), record
         self._listening: asyncio.Server | None = None
@@ -37,7 +37,7 @@
         self._listening = await asyncio.start_server(self._connected, *self.address, backlog=256)
 
     def stop(self) -> None:
-        """Its process has ended: connections are reset, and new ones refused."""
+        """Simulates the end of its process: resets connections and refuses new ones."""
         if self._listening:
             self._listening.close()
         for writer in list(self._writers):
@@ -66,7 +66,7 @@
             for request in parser.feed(data):
                 receipt = receipt or self._receipt()
                 receipt.trace = request.headers[b"x-trace-id"].decode()
-                receipt.told_s = int(request.headers[b"x-expires-in-ms"]) / 1000
+                receipt.announced_s = int(request.headers[b"x-expires-in-ms"]) / 1000
                 if self.hangs:
                     await reader.read()
                     return
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Settings and a scripted world for the tests. The figures are made up for them."""
+"""Shared test helpers: example settings and a hand-driven decision module."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    """A settings object in the wire's terms; `a__b=v` changes key `b` inside `a`."""
+    """Returns settings in their wire form; `a__b=v` sets key `b` of object `a`."""
     raw: dict[str, Any] = {
         "allowed": {
             "attempts-cap": 3, "cancel": True, "connect-timeout-ns": 100 * MS, "may-duplicate": True,
@@ -56,22 +56,22 @@
 
 
 class Sidecar:
-    """One module with a fleet, driven by hand."""
+    """A decision module whose clock and events the test controls."""
 
     def __init__(self, rows: list[api.ListedEndpoint], seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 100 * SECOND
-        self.roster(rows, api.ListForm.CACHED)
+        self.apply_list(rows, api.ListForm.CACHED)
         self._last = 0
 
-    def roster(
+    def apply_list(
         self, rows: list[api.ListedEndpoint], form: api.ListForm = api.ListForm.DELTA
     ) -> list[api.Action]:
         return self.balancer.handle(self.now, api.EndpointList(1, form, tuple(rows)))
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
         self._last += 1
-        return quiet(self.balancer.handle(self.now, api.Request(self._last, cls, left_ns, **fields)))
+        return without_logs(self.balancer.handle(self.now, api.Request(self._last, cls, left_ns, **fields)))
 
     def outcome(
         self, send: api.Send, status: api.Status = api.Status.OK, *, attempt: int = 0,
@@ -79,10 +79,10 @@
     ) -> list[api.Action]:  # fmt: skip
         done = status is api.Status.OK if finished is None else finished
         event = api.Outcome(send.request, send.endpoint, attempt, latency_ns, status, done, load)
-        return quiet(self.balancer.handle(self.now, event))
+        return without_logs(self.balancer.handle(self.now, event))
 
     def serve(self, count: int, latency_ns: int = 50 * MS, cls: int = 0) -> list[int]:
-        """Send and answer requests one after another; the endpoints chosen."""
+        """Sends and answers requests one after another. Returns the chosen endpoints."""
         chosen = []
         for _ in range(count):
             for send in sends(self.request(cls)):
@@ -92,8 +92,8 @@
         return chosen
 
 
-def quiet(actions: list[api.Action]) -> list[api.Action]:
-    """The actions but for log lines."""
+def without_logs(actions: list[api.Action]) -> list[api.Action]:
+    """Returns the actions without log lines."""
     return [a for a in actions if not isinstance(a, api.Log)]
 
 
@@ -101,7 +101,7 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def finals(actions: list[api.Action]) -> list[api.Action]:
+def final_answers(actions: list[api.Action]) -> list[api.Action]:
     return [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
 
 
@@ -109,8 +109,8 @@
     return [a for a in actions if isinstance(a, api.SetTimer)]
 
 
-def one_pending(car: Sidecar) -> Pending:
-    return Pending(api.Request(10**6, 0, 2 * SECOND), car.balancer.settings.classes[0], car.now, 0)
+def one_pending(sidecar: Sidecar) -> Pending:
+    return Pending(api.Request(10**6, 0, 2 * SECOND), sidecar.balancer.settings.classes[0], sidecar.now, 0)
 
 
 def share(chosen: list[int], endpoint: int) -> float:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies too long to hold, in the decisions."""
+"""Decisions about requests and answers whose bodies are too long to buffer."""
 
 from __future__ import annotations
 
@@ -10,55 +10,64 @@
     MS,
     SECOND,
     Sidecar,
-    finals,
+    final_answers,
     listed,
-    quiet,
     sends,
+    without_logs,
 )
 
 
-def test_a_long_answer_is_learned_by_its_first_bytes_and_its_length_is_no_wait() -> None:
-    car = Sidecar([listed(1), listed(2)])
-    car.serve(40)
-    [send] = sends(car.request())
-    e = car.balancer.endpoints[send.endpoint]
-    car.now += 40 * MS
-    assert not quiet(car.balancer.handle(car.now, api.FirstByte(send.request, send.endpoint, 40 * MS, 0)))
-    usual, slow = list(car.balancer.estimates.class_ns), car.balancer.estimates.slowdown(e)
-    assert car.balancer.open_count == 0  # it holds no place among those that wait
-    car.now = car.balancer.ctx.now = car.now + 5 * SECOND
-    assert car.balancer.estimates.slowdown(e) < 1.5
-    assert not car.outcome(send, latency_ns=40 * MS)
+def test_long_answer_is_timed_to_its_first_byte() -> None:
+    sidecar = Sidecar([listed(1), listed(2)])
+    sidecar.serve(40)
+    [send] = sends(sidecar.request())
+    e = sidecar.balancer.endpoints[send.endpoint]
+    sidecar.now += 40 * MS
+    assert not without_logs(
+        sidecar.balancer.handle(sidecar.now, api.FirstByte(send.request, send.endpoint, 40 * MS, 0))
+    )
+    usual, slow = list(sidecar.balancer.estimates.class_ns), sidecar.balancer.estimates.slowdown(e)
+    assert sidecar.balancer.open_count == 0  # no longer counted as waiting for an answer
+    sidecar.now = sidecar.balancer.ctx.now = sidecar.now + 5 * SECOND
+    assert sidecar.balancer.estimates.slowdown(e) < 1.5
+    assert not sidecar.outcome(send, latency_ns=40 * MS)
     assert (
-        car.balancer.estimates.class_ns == usual and car.balancer.open_count == 0 and not car.balancer.pending
+        sidecar.balancer.estimates.class_ns == usual
+        and sidecar.balancer.open_count == 0
+        and not sidecar.balancer.pending
     )
-    assert abs(car.balancer.estimates.slowdown(e) - slow) < 0.5
+    assert abs(sidecar.balancer.estimates.slowdown(e) - slow) < 0.5
 
 
-def test_long_bodies_on_their_way_are_no_load_at_their_endpoint() -> None:
-    """Where slow clients read long answers, the draw would follow them and not the work."""
-    car = Sidecar([listed(1), listed(2)])
-    car.serve(40)
-    e = car.balancer.endpoints[1]
+def test_long_bodies_in_transfer_do_not_count_as_load() -> None:
+    """Otherwise slow clients that read long answers, not the work, would determine the endpoint choice."""
+    sidecar = Sidecar([listed(1), listed(2)])
+    sidecar.serve(40)
+    e = sidecar.balancer.endpoints[1]
     for kind in ("answer", "body"):
         out: list[api.Send] = []
         while len(out) < 6:
-            [send] = sends(car.request(2, has_long_body=kind == "body"))
+            [send] = sends(sidecar.request(2, has_long_body=kind == "body"))
             if kind == "answer":
                 event: api.Event = api.FirstByte(send.request, send.endpoint, 50 * MS, 0)
             else:
                 event = api.BodyProgress(send.request, 0, False)
             if send.endpoint == 1:
                 out.append(send)
-                car.balancer.handle(car.now, event)
+                sidecar.balancer.handle(sidecar.now, event)
             else:
-                car.outcome(send)
-        assert car.balancer.estimates.load(e) == 0 and car.balancer.open_count == 0
+                sidecar.outcome(send)
+        assert sidecar.balancer.estimates.load(e) == 0 and sidecar.balancer.open_count == 0
         for n, send in enumerate(out):
             if n % 2:
-                car.balancer.handle(car.now, api.ClientGone(send.request))
-            car.outcome(send, Status.CANCELLED if n % 2 else Status.OK)
-        assert (e.transferring, len(e.in_flight), car.balancer.open_count, len(car.balancer.pending)) == (
+                sidecar.balancer.handle(sidecar.now, api.ClientGone(send.request))
+            sidecar.outcome(send, Status.CANCELLED if n % 2 else Status.OK)
+        assert (
+            e.transferring,
+            len(e.in_flight),
+            sidecar.balancer.open_count,
+            len(sidecar.balancer.pending),
+        ) == (
             0,
             0,
             0,
@@ -66,51 +75,51 @@
         )
 
 
-def test_a_long_answer_that_breaks_off_is_not_asked_for_again() -> None:
-    car = Sidecar([listed(1), listed(2)])
-    [send] = sends(car.request())
-    car.balancer.handle(car.now, api.FirstByte(send.request, send.endpoint, 40 * MS, 0))
-    assert not sends(car.outcome(send, Status.RESET, finished=False))
-    assert not car.balancer.pending and car.balancer.open_count == 0
+def test_interrupted_long_answer_is_not_retried() -> None:
+    sidecar = Sidecar([listed(1), listed(2)])
+    [send] = sends(sidecar.request())
+    sidecar.balancer.handle(sidecar.now, api.FirstByte(send.request, send.endpoint, 40 * MS, 0))
+    assert not sends(sidecar.outcome(send, Status.RESET, finished=False))
+    assert not sidecar.balancer.pending and sidecar.balancer.open_count == 0
 
 
-def test_the_time_to_send_a_long_body_is_no_wait_for_its_endpoint_and_counts_for_no_deadline() -> None:
-    car = Sidecar([listed(1), listed(2)])
-    car.serve(40)
-    [send] = sends(car.request(2, has_long_body=True))
-    e = car.balancer.endpoints[send.endpoint]
-    car.balancer.handle(car.now, api.BodyProgress(send.request, 0, False))
-    assert car.balancer.open_count == 0
-    car.now = car.balancer.ctx.now = car.now + 6 * SECOND
-    assert car.balancer.estimates.slowdown(e) < 1.5
-    car.balancer.handle(car.now, api.BodyProgress(send.request, 0, True))
-    assert car.balancer.open_count == 1
-    car.now = car.balancer.ctx.now = car.now + 3 * SECOND
-    assert car.balancer.estimates.slowdown(e) > 5.0  # this is
-    [final] = car.outcome(send, Status.TIMEOUT, latency_ns=3 * SECOND)
-    assert isinstance(final, api.Fail) and car.balancer.open_count == 0
+def test_upload_time_of_a_long_body_counts_neither_as_latency_nor_toward_the_deadline() -> None:
+    sidecar = Sidecar([listed(1), listed(2)])
+    sidecar.serve(40)
+    [send] = sends(sidecar.request(2, has_long_body=True))
+    e = sidecar.balancer.endpoints[send.endpoint]
+    sidecar.balancer.handle(sidecar.now, api.BodyProgress(send.request, 0, False))
+    assert sidecar.balancer.open_count == 0
+    sidecar.now = sidecar.balancer.ctx.now = sidecar.now + 6 * SECOND
+    assert sidecar.balancer.estimates.slowdown(e) < 1.5
+    sidecar.balancer.handle(sidecar.now, api.BodyProgress(send.request, 0, True))
+    assert sidecar.balancer.open_count == 1
+    sidecar.now = sidecar.balancer.ctx.now = sidecar.now + 3 * SECOND
+    assert sidecar.balancer.estimates.slowdown(e) > 5.0  # waiting counts once the body is sent
+    [final] = sidecar.outcome(send, Status.TIMEOUT, latency_ns=3 * SECOND)
+    assert isinstance(final, api.Fail) and sidecar.balancer.open_count == 0
 
 
 @pytest.mark.parametrize("cls", [0, 1, 2])
-def test_of_a_long_body_nothing_is_sent_again_once_any_of_it_has_gone(cls: int) -> None:
+def test_long_body_is_not_retried_once_part_of_it_was_sent(cls: int) -> None:
     for gone in (False, True):
-        car = Sidecar([listed(1), listed(2)])
-        car.serve(40, cls=cls)
-        [send] = sends(car.request(cls, has_long_body=True))
+        sidecar = Sidecar([listed(1), listed(2)])
+        sidecar.serve(40, cls=cls)
+        [send] = sends(sidecar.request(cls, has_long_body=True))
         if gone:
-            car.balancer.handle(car.now, api.BodyProgress(send.request, 0, False))
-        actions = car.outcome(send, Status.CONNECT_FAILED)
-        assert (len(sends(actions)), len(finals(actions))) == ((0, 1) if gone else (1, 0))
-        assert send.timeout_ns == 0 or send.timeout_ns > 500 * MS  # no early end, as there is no repeat
+            sidecar.balancer.handle(sidecar.now, api.BodyProgress(send.request, 0, False))
+        actions = sidecar.outcome(send, Status.CONNECT_FAILED)
+        assert (len(sends(actions)), len(final_answers(actions))) == ((0, 1) if gone else (1, 0))
+        assert send.timeout_ns == 0 or send.timeout_ns > 500 * MS  # no early timeout, as there is no retry
 
 
-def test_events_of_requests_that_are_over_change_nothing() -> None:
-    car = Sidecar([listed(1)])
-    [send] = sends(car.request())
-    car.outcome(send)
+def test_events_of_finished_requests_change_nothing() -> None:
+    sidecar = Sidecar([listed(1)])
+    [send] = sends(sidecar.request())
+    sidecar.outcome(send)
     for event in (api.FirstByte(send.request, 1, 1, 0), api.BodyProgress(send.request, 0, False)):
-        assert not car.balancer.handle(car.now, event)
-    [send] = sends(car.request())
+        assert not sidecar.balancer.handle(sidecar.now, event)
+    [send] = sends(sidecar.request())
     for event in (api.FirstByte(send.request, 1, 1, 7), api.BodyProgress(send.request, 7, False)):
-        assert not car.balancer.handle(car.now, event)
-    assert car.balancer.open_count == 1
+        assert not sidecar.balancer.handle(sidecar.now, event)
+    assert sidecar.balancer.open_count == 1
--- a/tests/test_clock_starts.py
+++ b/tests/test_clock_starts.py
@@ -18,7 +18,7 @@
 from tests.net import Endpoint, TellingDiscovery, member, member_list
 from tests.support import MS, SECOND, raw_settings
 from tests.test_cold_processes import Arrivals
-from tests.test_fleet import load, slowly
+from tests.test_fleet import answer_slowly, load
 from tests.test_wall_clock import STEPS_S, stepped
 
 WARM = 4
@@ -35,7 +35,7 @@
 ) -> None:
     """The warm ones are slow, so that by its odds alone the new server would take most of the traffic."""
     rules, arrived = raw_settings()["guarantees"], list[float]()
-    warm, cold = Endpoint(slowly), Arrivals(arrived)
+    warm, cold = Endpoint(answer_slowly), Arrivals(arrived)
     async with warm.serve(), cold.serve(), stepped(tmp_path) as (it, clock):
         rows = [member(f"s-{n}", warm.address) for n in range(WARM)]
         async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
@@ -65,7 +65,7 @@
 ) -> None:
     """Dated in the future by the step, it would stay cold for an hour, and get next to nothing."""
     changes: dict[str, Any] = {"guarantees__cold_ns": SECOND, "guarantees__start_capacity": 0.02}
-    warm, cold = Endpoint(slowly), Endpoint(slowly)
+    warm, cold = Endpoint(answer_slowly), Endpoint(answer_slowly)
     async with warm.serve(), cold.serve(), stepped(tmp_path) as (it, clock):
         rows = [member("s-0", warm.address)]
         async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,7 +1,7 @@
-"""Cold servers fall under the sum of what all sidecars send: no span brings more than a budget and chance.
+"""The requests of all sidecars together stay within the budget of a cold server in every window.
 
-The operators' terms: of a budget of N requests only 2 x root of N + 2 beyond it are chance, whatever the
-number of processes, without a word between them."""
+For a budget of N requests, up to 2 * sqrt(N) + 2 more count as random variation, for any number of processes
+and without communication between them."""
 
 from __future__ import annotations
 
@@ -12,59 +12,63 @@
 from shuntlead.interface import EndpointState
 from tests.coldfleet import ColdFleet
 
-# Sidecars, servers, cold ones of them, requests a second of a sidecar in the mean.
+# Sidecars, servers, cold servers among them, mean requests per second of a sidecar.
 SIZES = [(4, 10, 3, 20.0), (20, 40, 10, 8.0), (30, 60, 20, 3.0), (200, 60, 20, 1.0)]
 
 
-def steady(it: ColdFleet) -> None:
+def steady(simulation: ColdFleet) -> None:
     pass
 
 
-def burst(it: ColdFleet) -> None:
-    it.burst = 3.0
+def burst(simulation: ColdFleet) -> None:
+    simulation.load_factor = 3.0
 
 
-def warm_ones_slow(it: ColdFleet) -> None:
-    it.slow = 10.0
+def warm_ones_slow(simulation: ColdFleet) -> None:
+    simulation.slowdown = 10.0
 
 
-def half_restarted(it: ColdFleet) -> None:
-    for n in range(0, it.count, 2):
-        it.start(n)
+def half_restarted(simulation: ColdFleet) -> None:
+    for n in range(0, simulation.count, 2):
+        simulation.start(n)
 
 
-def nine_in_ten_replaced(it: ColdFleet) -> None:
-    it.states = {n: EndpointState.DRAINING for n in it.warm[: len(it.warm) * 9 // 10]}
-    it.tell()
+def nine_in_ten_replaced(simulation: ColdFleet) -> None:
+    simulation.states = {n: EndpointState.DRAINING for n in simulation.warm[: len(simulation.warm) * 9 // 10]}
+    simulation.publish_list()
 
 
-def all_replaced(it: ColdFleet) -> None:
-    it.states = {n: EndpointState.DRAINING for n in it.warm}
-    it.tell()
+def all_replaced(simulation: ColdFleet) -> None:
+    simulation.states = {n: EndpointState.DRAINING for n in simulation.warm}
+    simulation.publish_list()
 
 
-def all_new(it: ColdFleet) -> None:
-    it.states = {n: EndpointState.DRAINING for n in it.warm}
-    for n in range(it.count):
-        it.start(n)
+def all_new(simulation: ColdFleet) -> None:
+    simulation.states = {n: EndpointState.DRAINING for n in simulation.warm}
+    for n in range(simulation.count):
+        simulation.start(n)
 
 
-@pytest.mark.parametrize("then", [steady, burst, warm_ones_slow, half_restarted, nine_in_ten_replaced,
+@pytest.mark.parametrize("change", [steady, burst, warm_ones_slow, half_restarted, nine_in_ten_replaced,
                                   all_replaced, all_new], ids=lambda f: f.__name__)  # fmt: skip
-def test_the_fleets_sum_stays_within_the_budget_of_a_cold_server(then: Callable[[ColdFleet], None]) -> None:
+def test_total_of_all_sidecars_stays_within_the_budget_of_a_cold_server(
+    change: Callable[[ColdFleet], None],
+) -> None:
     for seed, (sidecars, servers, cold, rate) in enumerate(SIZES):
-        worst = ColdFleet(seed, sidecars, servers, cold, 0.7, rate).run(2.5, then)
-        print(f"{sidecars} sidecars, {cold} of {servers} cold: {worst}")
-        assert worst.beyond <= 0.0, (sidecars, worst)
-        assert worst.used > 0.05, (sidecars, worst)  # a new server is no use to anyone if it gets nothing
+        use = ColdFleet(seed, sidecars, servers, cold, 0.7, rate).run(2.5, change)
+        print(f"{sidecars} sidecars, {cold} of {servers} cold: {use}")
+        assert use.excess <= 0.0, (sidecars, use)
+        assert use.used_share > 0.05, (sidecars, use)  # a new server that gets no requests is of no use
 
 
-@pytest.mark.parametrize("then", [steady, burst, all_replaced, all_new], ids=lambda f: f.__name__)
-def test_two_processes_of_each_sidecar_stay_within_the_same_budget(then: Callable[[ColdFleet], None]) -> None:
-    """In an upgrade, with the clients split between them: the settings say how many sidecars there are."""
+@pytest.mark.parametrize("change", [steady, burst, all_replaced, all_new], ids=lambda f: f.__name__)
+def test_two_processes_of_each_sidecar_stay_within_the_same_budget(
+    change: Callable[[ColdFleet], None],
+) -> None:
+    """During an upgrade the clients are split between both; the settings state the number of sidecars."""
     for seed, (sidecars, servers, cold, rate) in enumerate(SIZES[:2]):
-        it = ColdFleet(seed, 2 * sidecars, servers, cold, 0.7, rate / 2, fleet_size=sidecars)
-        it.processes = 2
-        worst = it.run(2.5, then)
-        print(f"{sidecars} sidecars of two processes, {cold} of {servers} cold: {worst}")
-        assert worst.beyond <= 0.0, (sidecars, worst)
+        simulation = ColdFleet(seed, 2 * sidecars, servers, cold, 0.7, rate / 2, fleet_size=sidecars)
+        simulation.processes = 2
+        use = simulation.run(2.5, change)
+        print(f"{sidecars} sidecars of two processes, {cold} of {servers} cold: {use}")
+        assert use.excess <= 0.0, (sidecars, use)
--- a/tests/test_datagram_failures.py
+++ b/tests/test_datagram_failures.py
@@ -1,4 +1,4 @@
-"""Calls on the socket for datagrams fail: messages may be lost, and nothing else is."""
+"""Failing system calls on the peer socket lose datagrams and have no other effect."""
 
 from __future__ import annotations
 
@@ -13,41 +13,44 @@
 from shuntlead import interface as api
 from tests.net import until
 from tests.syscalls import FailingCall, no_traceback
-from tests.test_peers import SEEN, free_addresses, opened
+from tests.test_peers import OBSERVATIONS, free_addresses, open_peers
 
 __all__ = ["no_traceback"]  # a fixture
 
-SENDING = [
+SEND_ERRORS = [
     errno.EAGAIN, errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENETDOWN, errno.EPERM,
     errno.ENOBUFS, errno.ENOMEM, errno.EMSGSIZE, errno.EINVAL,
 ]  # fmt: skip
-OPENING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRINUSE, errno.EADDRNOTAVAIL]
+OPEN_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRINUSE, errno.EADDRNOTAVAIL]
 
 
 def code(number: int) -> str:
     return errno.errorcode[number]
 
 
-@pytest.mark.parametrize("number", SENDING, ids=code)
+@pytest.mark.parametrize("number", SEND_ERRORS, ids=code)
 @pytest.mark.parametrize("name", ["sendto", "recvfrom"])
-async def test_a_datagram_that_fails_is_lost_and_those_after_it_are_not(
+async def test_failed_datagram_is_lost_and_later_ones_are_not(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], name: str, number: int
 ) -> None:
-    addresses, heard = free_addresses(2), list[api.PeerMessage]()
-    first, second = await opened(addresses, 0, lambda m: None), await opened(addresses, 1, heard.append)
+    addresses, received = free_addresses(2), list[api.PeerMessage]()
+    first, second = (
+        await open_peers(addresses, 0, lambda m: None),
+        await open_peers(addresses, 1, received.append),
+    )
     failing = FailingCall(monkeypatch, name, number, 3)
     for _ in range(4):
-        first.send_observations(1, 0.5, SEEN)
+        first.send_observations(1, 0.5, OBSERVATIONS)
     await until(lambda: failing.failed == 3)
-    first.send_observations(1, 0.5, SEEN)
-    await until(lambda: bool(heard))
+    first.send_observations(1, 0.5, OBSERVATIONS)
+    await until(lambda: bool(received))
     first.close()
     second.close()
     assert not capfd.readouterr().err
 
 
-@pytest.mark.parametrize("number", OPENING, ids=code)
-async def test_a_socket_that_cannot_be_opened_is_tried_again_after_one_line(
+@pytest.mark.parametrize("number", OPEN_ERRORS, ids=code)
+async def test_failed_socket_open_is_logged_once_and_retried(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int
 ) -> None:
     addresses = free_addresses(2)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""What servers are told of the time that a client has left, and attempts whose time is over."""
+"""The remaining time that servers are told, and attempts whose time is over."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 from anisespool.sidecar import Sidecar
 from shuntlead import interface as api
-from tests.drains import FULL, scene
+from tests.drain_scenario import FULL, scene
 from tests.net import held_until, until
 from tests.support import SECOND
 
-WAIT_S = 0.4  # well over what an observer allows
-BODY, COUNT = 20_000, 20  # of requests sent ahead: several times what is read at once, and queued
-AMPLE = {"target-ns": 2 * SECOND, "deadline-ns": 2 * SECOND, "effect": "once", "worth": 1.0}
+DELAY_S = 0.4  # well over the observer's tolerance
+BODY, COUNT = 20_000, 20  # of pipelined requests: several times what is read at once and queued
+LONG_DEADLINE = {"target-ns": 2 * SECOND, "deadline-ns": 2 * SECOND, "effect": "once", "worth": 1.0}
 
 
 async def test_an_attempt_whose_time_is_over_does_not_begin(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process stands still between the decision and the attempt, past the client's time."""
+    """The process stalls between decision and attempt until after the client's deadline."""
     send, stalls = Sidecar._send, list[float]()
 
     def stalled(self: Sidecar, action: api.Send) -> None:
@@ -42,7 +42,7 @@
         assert status == 503 and it.seen.traces("s-0") == ["first"]
 
 
-async def test_an_attempt_whose_connection_comes_up_too_late_does_not_begin(
+async def test_attempt_whose_connection_opens_too_late_does_not_begin(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop = asyncio.get_running_loop()
@@ -50,54 +50,56 @@
     async with scene(tmp_path) as it:
         await it.tell(it.row(1, "draining"))
 
-        async def late(factory: Any, host: str, port: int, **fields: Any) -> Any:
+        async def delayed_connect(factory: Any, host: str, port: int, **fields: Any) -> Any:
             made = await connect(factory, host, port, **fields)
             if port == it.servers[0].address.port:
-                time.sleep(0.3)  # so the timer of the attempt has not run yet
+                time.sleep(0.3)  # blocks the loop, so the attempt's timer has not fired yet
             return made
 
-        monkeypatch.setattr(loop, "create_connection", late)
+        monkeypatch.setattr(loop, "create_connection", delayed_connect)
         assert await it.call("late", left_ms=200) == 503
         assert not it.seen.receipts
 
 
 @pytest.mark.parametrize("cls", ["look", "keyed", "once"])
-async def test_a_further_attempt_is_told_what_the_first_has_left(tmp_path: Path, cls: str) -> None:
-    async def turn_away_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await asyncio.sleep(WAIT_S)
+async def test_retry_announces_the_remaining_time(tmp_path: Path, cls: str) -> None:
+    async def reject_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await asyncio.sleep(DELAY_S)
         writer.write(FULL)
 
-    async with scene(tmp_path, turn_away_late, turn_away_late) as it:
+    async with scene(tmp_path, reject_late, reject_late) as it:
         await it.call("again", cls=cls, left_ms=1900)
         told = [receipt.told_ms for receipt in it.seen.receipts]
-        assert len(told) > 1 and told[1] < 1900 - WAIT_S * 1000
+        assert len(told) > 1 and told[1] < 1900 - DELAY_S * 1000
 
 
 @pytest.mark.parametrize("cls", ["look", "keyed", "once"])
-async def test_a_held_request_is_told_what_is_left_of_its_time(tmp_path: Path, cls: str) -> None:
+async def test_held_request_announces_the_remaining_time(tmp_path: Path, cls: str) -> None:
     async with scene(tmp_path) as it:
         await it.tell(it.row(0, "draining"), it.row(1, "draining"))
         held = it.start("held", cls=cls, left_ms=1900)
         await until(lambda: it.it.service.open == 1)
-        due = time.monotonic() + WAIT_S
+        due = time.monotonic() + DELAY_S
         await until(lambda: time.monotonic() > due)
         await it.tell(it.row(1))
         assert await held == 200
-        assert it.seen.receipts[0].told_ms < 1900 - WAIT_S * 1000
+        assert it.seen.receipts[0].told_ms < 1900 - DELAY_S * 1000
 
 
-async def test_what_waits_behind_others_of_its_client_is_told_what_is_left(tmp_path: Path) -> None:
-    """Some is read ahead, and the rest waits in the kernel: more than one read takes."""
+async def test_pipelined_requests_announce_the_remaining_time(tmp_path: Path) -> None:
+    """Part of the pipelined requests is read ahead; the rest, more than one read, waits in the kernel."""
     release = asyncio.Event()
-    async with scene(tmp_path, held_until(release), request_classes=[dict(AMPLE) for _ in range(3)]) as it:
+    async with scene(
+        tmp_path, held_until(release), request_classes=[dict(LONG_DEADLINE) for _ in range(3)]
+    ) as it:
         await it.tell(it.row(1, "draining"))
         listener = it.it.service._server._listener
         assert listener
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)  # for the connection's own kernel
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)  # inherited by the accepted
         reader, writer = await asyncio.open_connection(*it.it.address)
         writer.write(b"".join(it.seen.call(f"t{n}", "once", body=bytes(BODY)) for n in range(COUNT)))
         await until(lambda: len(it.seen.receipts) == 1 and not writer.transport.get_write_buffer_size())
-        due = time.monotonic() + WAIT_S
+        due = time.monotonic() + DELAY_S
         await until(lambda: time.monotonic() > due)
         release.set()
         answers = b""
@@ -108,10 +110,12 @@
 
 
 @pytest.mark.parametrize("kept", [False, True])
-async def test_what_came_while_the_process_stood_is_told_what_is_left(tmp_path: Path, kept: bool) -> None:
-    """Unread on a connection that was served before, or on one that has yet to be accepted."""
+async def test_request_received_during_a_stall_announces_the_remaining_time(
+    tmp_path: Path, kept: bool
+) -> None:
+    """The request is unread on a keep-alive connection or on one that is not accepted yet."""
     loop = asyncio.get_running_loop()
-    async with scene(tmp_path, request_classes=[dict(AMPLE) for _ in range(3)]) as it:
+    async with scene(tmp_path, request_classes=[dict(LONG_DEADLINE) for _ in range(3)]) as it:
         await it.tell(it.row(1, "draining"))
         with socket.create_connection(it.it.address) as client:
             client.setblocking(False)
@@ -119,6 +123,6 @@
                 await loop.sock_sendall(client, it.seen.call("first"))
                 assert (await loop.sock_recv(client, 4096)).startswith(b"HTTP/1.1 200")
             client.send(it.seen.call("late", "once"))
-            time.sleep(WAIT_S)  # the sidecar is in this thread: nothing is read meanwhile
+            time.sleep(DELAY_S)  # blocks the sidecar's event loop, so nothing is read
             assert (await loop.sock_recv(client, 4096)).startswith(b"HTTP/1.1 200")
         assert it.seen.traces("s-0")[-1] == "late"
--- a/tests/test_drain_paths.py
+++ b/tests/test_drain_paths.py
@@ -17,7 +17,7 @@
 from tests.net import OK, Endpoint, Streams, held_until, reset, until
 from tests.observer import DEADLINE_SLACK_S, Observer, Server
 from tests.support import SECOND
-from tests.test_deadlines import AMPLE
+from tests.test_deadlines import LONG_DEADLINE
 from tests.test_gone import SlowDial
 
 STALL_S = 0.15  # of the process, between a decision and what follows from it
@@ -195,7 +195,7 @@
 
     monkeypatch.setattr(owner, name, stalled)
     stall_s = STALL_S if owner is Endpoints else DEADLINE_SLACK_S - ROOM_S
-    async with scene(tmp_path, request_classes=[dict(AMPLE) for _ in range(3)]) as it:
+    async with scene(tmp_path, request_classes=[dict(LONG_DEADLINE) for _ in range(3)]) as it:
         await until(lambda: bool(it.it.discovery.connections))
         for n in range(3):
             it.revision += 1
--- a/tests/test_gone_turns.py
+++ b/tests/test_gone_turns.py
@@ -1,4 +1,4 @@
-"""Clients that leave while their requests wait for a turn, or while the process stands still."""
+"""Clients that disconnect while their requests wait for their key's turn, or while the process is stalled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.drains import FULL, scene
+from tests.drain_scenario import FULL, scene
 from tests.net import OK, Streams, until
 from tests.observer import GONE_S
 from tests.support import SECOND
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("leave", WAYS)
-async def test_who_leaves_before_the_turn_of_its_key_gets_no_attempt_and_holds_up_nobody(
+async def test_client_gone_before_its_keys_turn_gets_no_attempt_and_blocks_no_other(
     tmp_path: Path, leave: Callable[..., None]
 ) -> None:
     waiting: list[Streams] = []
@@ -36,12 +36,12 @@
         await it.tell(it.row(1, "draining"))
         first = it.start("t0", cls="keyed", headers=KEY.format(0))
         await until(lambda: len(waiting) == 1)
-        _, leaver = await asyncio.open_connection(*it.it.address)
-        leaver.write(it.seen.call("t1", cls="keyed", headers=KEY.format(1)))
+        _, leaving_client = await asyncio.open_connection(*it.it.address)
+        leaving_client.write(it.seen.call("t1", cls="keyed", headers=KEY.format(1)))
         await until(lambda: it.it.service.open == 2)
         last = it.start("t2", cls="keyed", headers=KEY.format(2))
         await until(lambda: it.it.service.open == 3)
-        leave(leaver)
+        leave(leaving_client)
         it.seen.closed("t1")
         await until(lambda: it.it.service.open == 2)
         waiting.pop()[1].write(OK)
@@ -52,10 +52,8 @@
 
 
 @pytest.mark.parametrize("cls", ["look", "keyed", "once"])
-async def test_who_leaves_while_the_process_stands_still_gets_no_further_attempt(
-    tmp_path: Path, cls: str
-) -> None:
-    """The answer that would bring a retry has come meanwhile, too."""
+async def test_client_gone_during_a_stall_gets_no_retry(tmp_path: Path, cls: str) -> None:
+    """The server's answer that would cause a retry also arrives during the stall."""
     waiting: list[Streams] = []
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -75,8 +73,8 @@
         assert [r.trace for r in it.seen.receipts] == ["left"]
 
 
-async def test_trouble_at_one_server_and_one_client_frees_no_other_of_its_answer(tmp_path: Path) -> None:
-    """One server resets all that it has; one client closes with a request under way. The rest is answered."""
+async def test_failures_of_one_server_and_one_client_affect_no_other_answer(tmp_path: Path) -> None:
+    """One server resets all its connections and one client disconnects; all other requests are answered."""
     broken: list[Streams] = []
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -85,10 +83,10 @@
     async with scene(tmp_path, hold) as it:
         names = [(f"{cls}{n}", cls) for cls in ("look", "keyed", "once") for n in range(8)]
         calls = {trace: it.start(trace, cls=cls) for trace, cls in names}
-        _, leaver = await asyncio.open_connection(*it.it.address)
-        leaver.write(it.seen.call("leaver", "once"))
+        _, leaving_client = await asyncio.open_connection(*it.it.address)
+        leaving_client.write(it.seen.call("leaver", "once"))
         await until(lambda: len(broken) > 2 and len({r.trace for r in it.seen.receipts}) == len(calls) + 1)
-        leaver.transport.abort()
+        leaving_client.transport.abort()
         it.seen.closed("leaver")
         for _, writer in broken:
             writer.transport.abort()
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -6,8 +6,8 @@
 
 from shuntlead import interface as api
 from shuntlead.interface import ListForm, Settings, Status
-from tests.support import MS, SECOND, Sidecar, finals, listed, raw_settings, sends, timers
-from tests.test_rules import World
+from tests.support import MS, SECOND, Sidecar, final_answers, listed, raw_settings, sends, timers
+from tests.test_rules import Simulation
 
 
 @pytest.mark.parametrize("size", [0, 1, 300])
@@ -31,13 +31,13 @@
 
 def test_no_time_left_is_answered_at_once() -> None:
     car = Sidecar([listed(1)])
-    assert len(finals(car.request(left_ns=0))) == 1
+    assert len(final_answers(car.request(left_ns=0))) == 1
 
 
 def test_a_start_time_in_the_future_is_as_cold_as_can_be() -> None:
     car = Sidecar([listed(1), listed(2)])
     car.serve(50)
-    car.roster([listed(3, started_ns=car.now + 60 * SECOND)])
+    car.apply_list([listed(3, started_ns=car.now + 60 * SECOND)])
     assert car.serve(100).count(3) < 30
 
 
@@ -81,7 +81,7 @@
     raw["request-classes"][0]["stream"] = True
     car = Sidecar([listed(1)])
     car.balancer = type(car.balancer)(Settings.from_dict(raw), 1)
-    car.roster([listed(1)], ListForm.CACHED)
+    car.apply_list([listed(1)], ListForm.CACHED)
     assert sends(car.request())[0].timeout_ns == 0
 
 
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_with_asked_discovery_and_silent_reports(seed: int) -> None:
     raw = raw_settings(discovery="ask", report__how="silent", report__columns=[], allowed__cancel=False)
-    checker = World(seed, api.Settings.from_dict(raw), 10 * SECOND).run()
+    checker = Simulation(seed, api.Settings.from_dict(raw), 10 * SECOND).run()
     assert checker.requests
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures lets no more pass than it names."""
+"""The list of known failures covers exactly the tests that it names."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 ENTRY = "tests/test_a.py::test_b | lists behind | 32"
 
 
-def test_an_entry_stands_for_its_test_and_all_its_parameters_alone() -> None:
+def test_entry_matches_its_test_with_all_parameters_and_no_other() -> None:
     [entry] = known_red.read(f"# the incident\n\n{ENTRY}\n")
     assert entry == ("tests/test_a.py::test_b", "lists behind", "32")
     assert entry.matches("tests/test_a.py::test_b") and entry.matches("tests/test_a.py::test_b[x-1]")
     assert not entry.matches("tests/test_a.py::test_bc")
 
 
-def test_an_entry_that_stands_for_no_test_is_found() -> None:
+def test_entry_without_matching_test_is_reported() -> None:
     entries = known_red.read(f"{ENTRY}\ntests/test_a.py::test_c | x | 32")
     assert known_red.unmatched(entries, ["tests/test_a.py::test_b[1]", "tests/test_d.py::test_e"]) == [
         entries[1]
@@ -24,6 +24,6 @@
 
 
 @pytest.mark.parametrize("text", ["tests/test_a.py::test_b", "a | b", "a || c", "\n".join([ENTRY] * 4)])
-def test_another_form_and_a_fourth_entry_are_refused(text: str) -> None:
+def test_malformed_entry_and_too_many_entries_are_rejected(text: str) -> None:
     with pytest.raises(ValueError, match=r"KNOWN-RED\.txt"):
         known_red.read(text)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The decision module as a whole: its limits, its log, its determinism, its size."""
+"""The decision module as a whole: code limits, imports, log, determinism and bounded state."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_module_limits() -> None:
-    """The files of the policy together have no limit any more; each has one, and so has each function."""
+    """Limits the length of each policy file and each function."""
     texts = [path.read_text() for path in POLICY]
     assert all(text.count("\n") <= 250 for text in texts)
     functions = [node for text in texts for node in ast.walk(ast.parse(text))
@@ -35,9 +35,9 @@
     assert (longest.end_lineno or 0) - longest.lineno < 45, longest.name
 
 
-def test_each_room_imports_only_rooms_before_it_and_the_standard_library() -> None:
-    """A socket, a clock or a circle in what decides."""
-    rooms = [f"shuntlead.{path.stem}" for path in POLICY]
+def test_policy_modules_import_only_lower_modules_and_the_standard_library() -> None:
+    """Guards against sockets, clocks and circular imports in the decision code."""
+    modules = [f"shuntlead.{path.stem}" for path in POLICY]
     for n, path in enumerate(POLICY):
         imported = set()
         for node in ast.walk(ast.parse(path.read_text())):
@@ -45,22 +45,24 @@
                 imported |= {name.name for name in node.names}
             elif isinstance(node, ast.ImportFrom):
                 imported.add(str(node.module))
-        ours = {m for m in imported if m.partition(".")[0] not in sys.stdlib_module_names}
-        assert ours <= {*rooms[n + 1 :], "shuntlead", "shuntlead.interface", "shuntlead.peer_codec"}, path
+        internal = {m for m in imported if m.partition(".")[0] not in sys.stdlib_module_names}
+        assert internal <= {*modules[n + 1 :], "shuntlead", "shuntlead.interface", "shuntlead.peer_codec"}, (
+            path
+        )
         assert not imported & {"time", "datetime", "os", "threading", "socket", "asyncio"}
 
 
-def test_trouble_is_logged_once_in_a_while() -> None:
-    car = Sidecar([listed(1), listed(2)])
+def test_repeated_failures_are_logged_at_a_limited_rate() -> None:
+    sidecar = Sidecar([listed(1), listed(2)])
     lines: list[str] = []
     for _ in range(200):
-        car._last += 1
-        actions = car.balancer.handle(car.now, api.Request(car._last, 2, 2 * SECOND))
+        sidecar._last += 1
+        actions = sidecar.balancer.handle(sidecar.now, api.Request(sidecar._last, 2, 2 * SECOND))
         for send in sends(actions):
             event = api.Outcome(send.request, send.endpoint, 0, MS, Status.ERROR, False)
-            actions += car.balancer.handle(car.now, event)
+            actions += sidecar.balancer.handle(sidecar.now, event)
         lines += [a.text for a in actions if isinstance(a, api.Log)]
-        car.now += 20 * MS
+        sidecar.now += 20 * MS
     assert 1 <= len(lines) <= 3
     assert lines[0].startswith("failing: endpoint ")
 
@@ -79,21 +81,21 @@
         assert f"`{topic}:`" in page, topic
 
 
-def play(seed: int) -> list[api.Action]:
+def replay(seed: int) -> list[api.Action]:
     draw = random.Random(seed)
-    car = Sidecar([listed(n * 101, zone=n % 2) for n in range(1, 8)], seed=seed)
+    sidecar = Sidecar([listed(n * 101, zone=n % 2) for n in range(1, 8)], seed=seed)
     log: list[Any] = []
     for _ in range(300):
-        actions = car.request(draw.randrange(3), key=draw.randrange(1 << 60))
+        actions = sidecar.request(draw.randrange(3), key=draw.randrange(1 << 60))
         log += actions
-        car.now += draw.randrange(40) * MS
+        sidecar.now += draw.randrange(40) * MS
         for send in sends(actions):
-            log += car.outcome(send, draw.choice((Status.OK, Status.OK, Status.ERROR)))
+            log += sidecar.outcome(send, draw.choice((Status.OK, Status.OK, Status.ERROR)))
     return log
 
 
 def test_same_events_same_actions_whatever_the_hash_seed() -> None:
-    code = "from tests.test_module import play; print(hash(tuple(map(repr, play(3)))) and play(3))"
+    code = "from tests.test_module import replay; print(hash(tuple(map(repr, replay(3)))) and replay(3))"
     outputs = {
         subprocess.run(
             [sys.executable, "-c", code], capture_output=True, check=True, cwd=ROOT,
@@ -102,34 +104,34 @@
         for hash_seed in ("0", "1", "77")
     }  # fmt: skip
     assert len(outputs) == 1
-    assert outputs == {(repr(play(3)) + "\n").encode()}
+    assert outputs == {(repr(replay(3)) + "\n").encode()}
 
 
-def test_two_modules_in_one_process_do_not_touch_each_other() -> None:
-    alone = play(5)
-    car = Sidecar([listed(1)])
-    car.serve(10)
-    assert play(5) == alone
+def test_modules_in_one_process_are_independent() -> None:
+    alone = replay(5)
+    sidecar = Sidecar([listed(1)])
+    sidecar.serve(10)
+    assert replay(5) == alone
 
 
 def test_state_stays_bounded() -> None:
-    car = Sidecar([listed(1), listed(2)])
+    sidecar = Sidecar([listed(1), listed(2)])
     for n in range(3000):
-        todo, leg = car.request(key=n), 0
-        while todo:
-            action = todo.pop(0)
+        pending, attempt = sidecar.request(key=n), 0
+        while pending:
+            action = pending.pop(0)
             if isinstance(action, api.SetTimer):
-                todo += car.balancer.handle(car.now, api.Timer(action.token))
+                pending += sidecar.balancer.handle(sidecar.now, api.Timer(action.token))
             elif isinstance(action, api.Send):
-                todo += car.outcome(action, Status.OK if n % 5 else Status.RESET, attempt=leg)
-                leg += 1
-        car.now += 10 * MS
-        car.roster([listed(1000 + n), listed(1000 + n - 5, state=EndpointState.GONE)])
-    assert len(car.balancer.endpoints) < 20
-    assert len(car.balancer.pending) < 20
-    assert len(car.balancer.ctx.timers) < 50
+                pending += sidecar.outcome(action, Status.OK if n % 5 else Status.RESET, attempt=attempt)
+                attempt += 1
+        sidecar.now += 10 * MS
+        sidecar.apply_list([listed(1000 + n), listed(1000 + n - 5, state=EndpointState.GONE)])
+    assert len(sidecar.balancer.endpoints) < 20
+    assert len(sidecar.balancer.pending) < 20
+    assert len(sidecar.balancer.ctx.timers) < 50
 
 
 def test_hundreds_of_endpoints() -> None:
-    car = Sidecar([listed(n) for n in range(500)])
-    assert len(car.serve(50)) == 50
+    sidecar = Sidecar([listed(n) for n in range(500)])
+    assert len(sidecar.serve(50)) == 50
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-def test_the_readmes_example_runs() -> None:
+def test_readme_example_runs() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     blocks = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     assert blocks
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules on generated event sequences (see checker.py), with a small world that obeys the wire."""
+"""The four rules on generated event sequences that are valid on the wire (see checker.py)."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 STATUSES = list(Status)
 
 
-class World:
-    """Legal events drawn from a seed: arrivals, outcomes of every kind, roster changes, timers."""
+class Simulation:
+    """Valid events drawn from a seed: arrivals, outcomes of every kind, list changes and timers."""
 
     def __init__(self, seed: int, cfg: api.Settings, length_ns: int) -> None:
         self.draw = random.Random(seed)
@@ -33,26 +33,26 @@
         self.queue: list[tuple[int, int, str, Any]] = []
         self.ids = count(1)
         self.outstanding: dict[tuple[int, int], api.Send] = {}
-        self.fate = self.draw.choice(("calm", "errors", "silent", "mixed"))
+        self.outcome_mix = self.draw.choice(("calm", "errors", "silent", "mixed"))
 
-    def at(self, when: int, what: str, data: Any = None) -> None:
-        heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), what, data))
+    def at(self, when: int, kind: str, data: Any = None) -> None:
+        heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), kind, data))
 
     def run(self) -> Checker:
-        self.tell(api.EndpointList(1, api.ListForm.CACHED, tuple(self.rows())))
+        self.dispatch(api.EndpointList(1, api.ListForm.CACHED, tuple(self.rows())))
         self.at(self.now + TICK, "arrive")
         self.at(self.now + SECOND, "roster")
         self.at(self.now + 2 * TICK, "peer")
         while self.queue:
-            when, _, what, data = heappop(self.queue)
-            if when > self.end + 10 * SECOND and not self.outstanding and what == "timer":
+            when, _, kind, data = heappop(self.queue)
+            if when > self.end + 10 * SECOND and not self.outstanding and kind == "timer":
                 break
             self.now = max(self.now, when)
-            self.checker.nothing_owed(self.now)
-            getattr(self, "do_" + what)(data)
-        self.checker.nothing_owed(self.now + 60 * SECOND)
-        assert not self.balancer.pending, "state kept for finished requests"
-        assert not self.balancer.keys.queues, "state kept for idle keys"
+            self.checker.check_all_answered(self.now)
+            getattr(self, "do_" + kind)(data)
+        self.checker.check_all_answered(self.now + 60 * SECOND)
+        assert not self.balancer.pending, "state left over from finished requests"
+        assert not self.balancer.keys.queues, "state left over from idle keys"
         return self.checker
 
     def rows(self) -> list[api.ListedEndpoint]:
@@ -64,36 +64,36 @@
             for n in draw.sample(range(1, 9), draw.randrange(0, 8))
         ]  # fmt: skip
 
-    def tell(self, event: api.Event) -> None:
-        self.checker.event(self.now, event)
+    def dispatch(self, event: api.Event) -> None:
+        self.checker.on_event(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, actions)
+        self.checker.on_actions(self.now, actions)
         for action in actions:
             if isinstance(action, api.Send):
-                self.sent(action)
+                self.on_send(action)
             elif isinstance(action, api.SetTimer):
                 self.at(self.now + max(action.delay_ns, TICK), "timer", action.token)
             elif isinstance(action, api.Cancel):
                 self.at(self.now + TICK, "cancelled", (action.request, action.attempt))
 
-    def sent(self, send: api.Send) -> None:
-        ledger = self.checker.requests[send.request]
-        leg = len(ledger.copies) - 1
-        self.outstanding[send.request, leg] = send
-        limit = min(self.now + send.timeout_ns, ledger.due) if send.timeout_ns else ledger.due
-        self.at(limit, "outcome", (send.request, leg, Status.TIMEOUT))
-        status = self.status()
+    def on_send(self, send: api.Send) -> None:
+        record = self.checker.requests[send.request]
+        attempt = len(record.attempts) - 1
+        self.outstanding[send.request, attempt] = send
+        limit = min(self.now + send.timeout_ns, record.due) if send.timeout_ns else record.due
+        self.at(limit, "outcome", (send.request, attempt, Status.TIMEOUT))
+        status = self.draw_status()
         if status is not None:
             wait = self.draw.choice((1, 30, 200, 900)) * MS
             if self.now + wait < limit:
-                self.at(self.now + wait, "outcome", (send.request, leg, status))
+                self.at(self.now + wait, "outcome", (send.request, attempt, status))
 
-    def status(self) -> Status | None:
-        if self.fate == "calm":
+    def draw_status(self) -> Status | None:
+        if self.outcome_mix == "calm":
             return Status.OK
-        if self.fate == "silent":
+        if self.outcome_mix == "silent":
             return None
-        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.fate == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
+        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.outcome_mix == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
         return self.draw.choices(STATUSES, weights)[0]
 
     def do_arrive(self, _: Any) -> None:
@@ -105,32 +105,32 @@
         cls = draw.randrange(len(self.cfg.classes))
         request = api.Request(next(self.ids), cls, left, hint, draw.choice((0, 5, 2**64 - 1)))
         self.at(self.now + draw.choice((TICK, 20 * MS, 400 * MS)), "arrive")
-        self.tell(request)
-        ledger = self.checker.requests[request.request]
+        self.dispatch(request)
+        record = self.checker.requests[request.request]
         if draw.random() < 0.1:
             self.at(self.now + 50 * MS, "leave", request.request)
-        self.at(ledger.due + TICK, "deadline", request.request)
+        self.at(record.due + TICK, "deadline", request.request)
 
     def do_leave(self, request: int) -> None:
         if not self.checker.requests[request].answered:
-            self.tell(api.ClientGone(request))
+            self.dispatch(api.ClientGone(request))
 
     def do_deadline(self, request: int) -> None:
-        ledger = self.checker.requests[request]
-        assert ledger.answered or any(c.open for c in ledger.copies), "rule 1: held past its time"
+        record = self.checker.requests[request]
+        assert record.answered or any(c.open for c in record.attempts), "rule 1: held after its deadline"
 
     def do_cancelled(self, attempt: tuple[int, int]) -> None:
         self.do_outcome((*attempt, Status.CANCELLED))
 
     def do_outcome(self, data: tuple[int, int, Status]) -> None:
-        request, leg, status = data
-        send = self.outstanding.pop((request, leg), None)
+        request, attempt, status = data
+        send = self.outstanding.pop((request, attempt), None)
         if send is None:
             return
         finished = self.checker.requests[request].answered or status is Status.OK
-        latency = self.now - self.checker.requests[request].copies[leg].sent
+        latency = self.now - self.checker.requests[request].attempts[attempt].sent
         load = self.draw.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
-        self.tell(api.Outcome(request, send.endpoint, leg, latency, status, finished, load))
+        self.dispatch(api.Outcome(request, send.endpoint, attempt, latency, status, finished, load))
 
     def do_roster(self, _: Any) -> None:
         form = self.draw.choice((api.ListForm.DELTA, api.ListForm.FULL, api.ListForm.FAILED))
@@ -139,7 +139,7 @@
             rows = tuple(row for row in rows if row.state != EndpointState.GONE)
         if self.now < self.end:
             self.at(self.now + self.draw.choice((TICK, SECOND)), "roster")
-        self.tell(api.EndpointList(2, form, rows))
+        self.dispatch(api.EndpointList(2, form, rows))
 
     def do_peer(self, _: Any) -> None:
         draw = self.draw
@@ -147,22 +147,22 @@
         seen = [api.Observation(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
         if self.now < self.end and self.cfg.may_message:
             self.at(self.now + draw.choice((TICK, SECOND)), "peer")
-            self.tell(api.PeerMessage(1, draw.random(), tuple(seen)))
-            self.hearsay()
+            self.dispatch(api.PeerMessage(1, draw.random(), tuple(seen)))
+            self.send_peer_ejections()
 
-    def hearsay(self) -> None:
-        """Of any endpoint, listed or not: what peers and the past hold ejected."""
+    def send_peer_ejections(self) -> None:
+        """Sends ejections by peers and from stored state, for listed and unlisted endpoints."""
         draw, numbers = self.draw, [n * 7919 for n in range(1, 9)]
         up = draw.sample(numbers, draw.randrange(9))
         left_ns = draw.choice((0, 300 * MS, 5 * SECOND))
         ejections = tuple(api.Ejection(n, left_ns, Status.RESET) for n in up if draw.random() < 0.3)
         for sender in (1, 2):
-            self.tell(api.PeerEjections(sender, ejections))
+            self.dispatch(api.PeerEjections(sender, ejections))
         if draw.random() < 0.2:
-            self.tell(api.Restore((), ejections, (api.KeyPin(5, 1, draw.randrange(2), 0, SECOND),)))
+            self.dispatch(api.Restore((), ejections, (api.KeyPin(5, 1, draw.randrange(2), 0, SECOND),)))
 
     def do_timer(self, token: int) -> None:
-        self.tell(api.Timer(token))
+        self.dispatch(api.Timer(token))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -179,7 +179,7 @@
     settle=strategies.sampled_from([0, 100 * MS, SECOND]),
     ejection=strategies.booleans(),
 )
-def test_the_rules_hold_on_any_legal_day(
+def test_rules_hold_for_any_valid_event_sequence(
     seed: int,
     scope: str,
     duplicate: bool,
@@ -201,5 +201,5 @@
         cls["late-worth"] = late_worth
     for n in in_order:
         raw["request-classes"][n]["in-order"] = True
-    checker = World(seed, api.Settings.from_dict(raw), 8 * SECOND).run()
+    checker = Simulation(seed, api.Settings.from_dict(raw), 8 * SECOND).run()
     assert checker.requests
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,7 +19,7 @@
 from shuntlead.interface import Status
 from tests.net import Endpoint, held_until, raw_call, read_response, until, world, write_config
 from tests.planned_end import classes_with, end_now, sidecar
-from tests.support import MS, SECOND, Sidecar, finals, listed, sends
+from tests.support import MS, SECOND, Sidecar, final_answers, listed, sends
 from tests.test_driver import driven, send_once
 from tests.test_endpoints import say_nothing
 from tests.test_long import Reading
@@ -49,7 +49,7 @@
     [again] = sends(car.outcome(send, Status.RESET, finished=False))
     assert again.timeout_ns in (0, 600 * MS) or again.timeout_ns < 600 * MS
     car.now += 600 * MS
-    assert len(finals(car.outcome(again, Status.TIMEOUT, attempt=1, finished=False))) == 1
+    assert len(final_answers(car.outcome(again, Status.TIMEOUT, attempt=1, finished=False))) == 1
 
 
 def test_what_comes_as_the_process_ends_goes_on_with_what_is_left_or_is_refused_at_once() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak with fixed seeds: a minute on four workers. By hand: `python -m tests.soak`, see tests/soak."""
+"""The soak test with fixed seeds, about a minute on four workers, and tests of its rule checker."""
 
 from __future__ import annotations
 
@@ -7,49 +7,53 @@
 import pytest
 
 from tests.soak.discovery import History
-from tests.soak.judge import Judge
-from tests.soak.plan import GRACE_S, draw
-from tests.soak.play import play
-from tests.soak.record import Asked, End, Life, Received, Record
+from tests.soak.plan import GRACE_S, draw_plan
+from tests.soak.record import ClientRequest, End, ProcessRun, Received, Record
+from tests.soak.rule_checker import RuleChecker
+from tests.soak.run_plan import run_plan
 from tests.soak.servers import Server
 
-SEEDS = (5, 7, 13, 17, 18, 24)  # with these the release of 2026-12-02 broke a rule
+SEEDS = (5, 7, 13, 17, 18, 24)  # seeds with which the release of 2026-12-02 violated a rule
 
 
 @pytest.mark.timeout(90)
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_no_rule_is_broken_under_faults_drawn_from_the_seed(seed: int, tmp_path: Path) -> None:
-    outcome = await play(draw(seed), tmp_path)
+    outcome = await run_plan(draw_plan(seed), tmp_path)
     print(outcome)
     assert outcome.violations == []
     served = outcome.answers.get(200, 0)
-    assert served > outcome.requests / 2  # or nothing would be told of the rules
+    assert served > outcome.requests / 2  # otherwise the run would not exercise the rules
 
 
-class Scene:
-    """One process and one server, s-0, which drains with revision 1 at 10 s; written to the process then."""
+class Scenario:
+    """One process and one server, s-0, which drains with revision 1 at 10 s."""
 
     def __init__(self) -> None:
-        self.plan, self.history, self.record = draw(1), History(), Record()
+        self.plan, self.history, self.record = draw_plan(1), History(), Record()
         self.plan.lag_s = 0.0
         server = Server(0, 1, self.record)
         self.history.states = [
             {"s-0": {"id": "s-0", "phase": "up", "up_since_ms": 0}},
             {"s-0": {"id": "s-0", "phase": "draining", "up_since_ms": 0}},
         ]
-        self.history.had_s, self.server = [0.0, 10.0], server
-        self.record.lives[0] = [Life(0.5, 1.0)]
-
-    def ask(self, trace: str, at_s: float, end: End, after_s: float = 0.1, cls: str = "look") -> Asked:
-        asked = Asked(trace, cls, 0, 0, at_s, 1.0, True, end, at_s + after_s, 200)
-        self.record.asked[trace] = asked
-        return asked
-
-    def receive(self, trace: str, at_s: float, told_s: float = 0.5, never_ran: bool = False) -> None:
-        self.record.received.append(Received(0, 0, at_s, trace, told_s, never_ran))
-
-    def broken(self) -> list[str]:
-        found = Judge(self.plan, self.history, self.record).violations()
+        self.history.published_s, self.server = [0.0, 10.0], server
+        self.record.process_runs[0] = [ProcessRun(0.5, 1.0)]
+
+    def client_request(
+        self, trace: str, at_s: float, end: End, after_s: float = 0.1, cls: str = "look"
+    ) -> ClientRequest:
+        request = ClientRequest(trace, cls, 0, 0, at_s, 1.0, True, end, at_s + after_s, 200)
+        self.record.requests[trace] = request
+        return request
+
+    def server_received(
+        self, trace: str, at_s: float, announced_s: float = 0.5, never_ran: bool = False
+    ) -> None:
+        self.record.received.append(Received(0, 0, at_s, trace, announced_s, never_ran))
+
+    def violations(self) -> list[str]:
+        found = RuleChecker(self.plan, self.history, self.record).violations()
         return [text.partition(":")[0] for text in found]
 
 
@@ -57,66 +61,68 @@
     ("written", "at_s", "broken"),
     [(True, 10.4, []), (True, 10.8, ["drain"]), (False, 16.4, []), (False, 16.8, ["drain"])],
 )
-def test_the_judge_finds_a_request_after_the_grace(written: bool, at_s: float, broken: list[str]) -> None:
-    it = Scene()
+def test_checker_reports_a_request_after_the_drain_grace(
+    written: bool, at_s: float, violations: list[str]
+) -> None:
+    scenario = Scenario()
     if written:
-        it.record.wrote(0, 1, 10.0)
-    it.ask("a", at_s, End.ANSWERED)
-    it.receive("a", at_s)
-    assert it.broken() == broken
-    it.record.outages.append((10.0, 30.0))  # discovery could not be reached meanwhile
-    assert it.broken() == (broken if written else [])
-
-
-def test_the_judge_finds_lost_requests_late_answers_and_attempts_for_nobody() -> None:
-    it = Scene()
-    it.ask("served", 2.0, End.ANSWERED)
-    it.ask("late", 2.0, End.ANSWERED, after_s=1.8)
-    it.ask("closed", 2.0, End.CLOSED, after_s=0.5)
-    it.ask("left", 2.0, End.LEFT, after_s=0.1)
-    it.receive("left", 2.35)
-    it.receive("unasked", 2.0)
-    it.ask("told", 2.0, End.ANSWERED)
-    it.receive("told", 2.6, told_s=0.7)
-    assert sorted(it.broken()) == ["deadline", "duplicate", "lost", "lost", "lost"]
-
-
-def test_the_judge_excuses_what_a_kill_cut_off_but_not_what_came_late_before_a_planned_one() -> None:
-    it = Scene()
-    life = it.record.lives[0][0]
-    life.term_s, life.killed_s = 5.0, 6.7
-    it.ask("early", 5.6, End.CLOSED, after_s=1.1)
-    assert it.broken() == []
-    it.ask("late", 5.8, End.CLOSED, after_s=0.9)
-    assert it.broken() == ["lost"]
-    life.term_s = float("inf")
-    assert it.broken() == []
-
-
-def test_the_judge_counts_what_ran_more_than_once_unless_it_was_turned_away() -> None:
-    it = Scene()
-    it.ask("twice", 2.0, End.ANSWERED, cls="once")
-    it.receive("twice", 2.0, never_ran=True)
-    it.receive("twice", 2.1)
-    assert it.broken() == []
-    it.receive("twice", 2.2)
-    assert it.broken() == ["duplicate"]
-
-
-def test_the_judge_counts_what_a_cold_server_gets() -> None:
-    it = Scene()
+        scenario.record.record_write(0, 1, 10.0)
+    scenario.client_request("a", at_s, End.ANSWERED)
+    scenario.server_received("a", at_s)
+    assert scenario.violations() == violations
+    scenario.record.outages.append((10.0, 30.0))  # discovery was unreachable meanwhile
+    assert scenario.violations() == (violations if written else [])
+
+
+def test_checker_reports_lost_requests_late_answers_and_attempts_without_client() -> None:
+    scenario = Scenario()
+    scenario.client_request("served", 2.0, End.ANSWERED)
+    scenario.client_request("late", 2.0, End.ANSWERED, after_s=1.8)
+    scenario.client_request("closed", 2.0, End.CLOSED, after_s=0.5)
+    scenario.client_request("left", 2.0, End.LEFT, after_s=0.1)
+    scenario.server_received("left", 2.35)
+    scenario.server_received("unasked", 2.0)
+    scenario.client_request("told", 2.0, End.ANSWERED)
+    scenario.server_received("told", 2.6, announced_s=0.7)
+    assert sorted(scenario.violations()) == ["deadline", "duplicate", "lost", "lost", "lost"]
+
+
+def test_checker_excuses_requests_cut_off_by_a_kill_but_not_late_ones_before_a_planned_kill() -> None:
+    scenario = Scenario()
+    run = scenario.record.process_runs[0][0]
+    run.term_s, run.killed_s = 5.0, 6.7
+    scenario.client_request("early", 5.6, End.CLOSED, after_s=1.1)
+    assert scenario.violations() == []
+    scenario.client_request("late", 5.8, End.CLOSED, after_s=0.9)
+    assert scenario.violations() == ["lost"]
+    run.term_s = float("inf")
+    assert scenario.violations() == []
+
+
+def test_checker_reports_duplicate_runs_unless_the_server_rejected_the_request() -> None:
+    scenario = Scenario()
+    scenario.client_request("twice", 2.0, End.ANSWERED, cls="once")
+    scenario.server_received("twice", 2.0, never_ran=True)
+    scenario.server_received("twice", 2.1)
+    assert scenario.violations() == []
+    scenario.server_received("twice", 2.2)
+    assert scenario.violations() == ["duplicate"]
+
+
+def test_checker_reports_an_overloaded_cold_server() -> None:
+    scenario = Scenario()
     for n, at_s in enumerate([5.0] * 62 + [5.5] * 20):
-        it.ask(f"r{n}", at_s, End.ANSWERED)
-        it.record.received.append(Received(1, 7, at_s, f"r{n}", 0.5))
-    it.history.states.append({"s-1": {"id": "s-1", "phase": "up", "up_since_ms": 7}})
-    it.history.had_s.append(4.9)
-    assert it.broken() == []  # 62.5 + 2 x root of 62.5 + 2 is 80.3, and some more at 0.1 s of age
-    it.ask("more", 5.6, End.ANSWERED)
+        scenario.client_request(f"r{n}", at_s, End.ANSWERED)
+        scenario.record.received.append(Received(1, 7, at_s, f"r{n}", 0.5))
+    scenario.history.states.append({"s-1": {"id": "s-1", "phase": "up", "up_since_ms": 7}})
+    scenario.history.published_s.append(4.9)
+    assert scenario.violations() == []  # 62.5 + 2 * sqrt(62.5) + 2 = 80.3, and more at an age of 0.1 s
+    scenario.client_request("more", 5.6, End.ANSWERED)
     for n in range(3):
-        it.record.received.append(Received(1, 7, 5.6 + n / 100, "more", 0.5))
-    assert it.broken() == ["failback"]
+        scenario.record.received.append(Received(1, 7, 5.6 + n / 100, "more", 0.5))
+    assert scenario.violations() == ["failback"]
 
 
 def test_a_plan_is_the_same_for_the_same_seed_and_has_the_rules_own_grace() -> None:
-    assert draw(5) == draw(5) != draw(6)
-    assert draw(5).settings()["guarantees__drain_grace_ns"] == GRACE_S * 10**9
+    assert draw_plan(5) == draw_plan(5) != draw_plan(6)
+    assert draw_plan(5).settings()["guarantees__drain_grace_ns"] == GRACE_S * 10**9
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, on frames written for these tests, and the adapter over a pipe."""
+"""The wire codec on hand-built frames, and the adapter over a pipe."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     return struct.pack("<HIQI", 1000, instance, seed, len(params)) + params
 
 
-def sheet(number: int, rows: list[api.ListedEndpoint]) -> bytes:
+def numbered_list(number: int, rows: list[api.ListedEndpoint]) -> bytes:
     entries = b"".join(struct.pack("<IfHHHBQ", *row) for row in rows)
     return struct.pack("<HII", 1100, number, len(rows)) + entries
 
 
-def roster(instance: int, form: int, number: int) -> bytes:
+def list_ref(instance: int, form: int, number: int) -> bytes:
     return struct.pack("<HIQBI", 1010, instance, 3, form, number)
 
 
@@ -43,8 +43,8 @@
 
 def test_decodes_every_event() -> None:
     records = [
-        sheet(2, [listed(11, weight=1.5, cell=3, kind=1, zone=2, started_ns=77)]),
-        roster(4, 1, 2),
+        numbered_list(2, [listed(11, weight=1.5, cell=3, kind=1, zone=2, started_ns=77)]),
+        list_ref(4, 1, 2),
         arrival(4, 1 << 51),
         struct.pack("<HIQIQH", 1030, 4, 8, 11, 60, 1),
         struct.pack("<HIQIHQBBB2f", 1040, 4, 8, 11, 1, 60, 3, 0, 2, 0.5, 8.0),
@@ -64,7 +64,7 @@
         (4, api.ClientGone(8)),
         (4, api.Timer(21)),
         (4, api.ProbeResult(11, api.Status.OK, 60, (2.0,))),
-        (4, api.PeerMessage(2)),  # what no release of this wire has sent says nothing
+        (4, api.PeerMessage(2)),  # an unknown payload is decoded as an empty message
         (4, wire.Down()),
         (4, wire.Boot(9, b"{}")),
     ]
@@ -104,19 +104,19 @@
         (1, arrival(4, 8) + b"z", "left after"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 3, 0, 2), "truncated"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 99, 0, 0), "unknown status"),
-        (1, roster(4, 9, 0), "unknown form 9 of an endpoint list"),
+        (1, list_ref(4, 9, 0), "unknown form 9 of an endpoint list"),
         (2, arrival(4, 8), "truncated"),
     ],
 )
-def test_malformed_frames_are_named(count: int, body: bytes, text: str) -> None:
+def test_malformed_frames_raise_a_specific_error(count: int, body: bytes, text: str) -> None:
     with pytest.raises(wire.WireError, match=text):
         wire.decode_batch(count, body)
 
 
 def test_a_list_number_means_the_latest_list_so_far() -> None:
     host = Host()
-    first = [boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0), arrival(1, 1)]
-    second = [sheet(0, [listed(12)]), roster(1, 2, 0), arrival(1, 2)]
+    first = [boot(1, raw_settings()), numbered_list(0, [listed(11)]), list_ref(1, 3, 0), arrival(1, 1)]
+    second = [numbered_list(0, [listed(12)]), list_ref(1, 2, 0), arrival(1, 2)]
     records = b"".join(first + second)
     reply = host.handle_batch(SECOND, len(first + second), records)
     chosen = [a.endpoint for _, a in reply if isinstance(a, api.Send)]
@@ -125,14 +125,14 @@
 
 def test_kill_and_restart_in_one_batch_drops_all_state() -> None:
     host = Host()
-    start = [boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0), arrival(1, 1)]
+    start = [boot(1, raw_settings()), numbered_list(0, [listed(11)]), list_ref(1, 3, 0), arrival(1, 1)]
     host.handle_batch(SECOND, len(start), b"".join(start))
-    again = [struct.pack("<HI", 1090, 1), boot(1, raw_settings()), sheet(0, []), roster(1, 3, 0),
+    again = [struct.pack("<HI", 1090, 1), boot(1, raw_settings()), numbered_list(0, []), list_ref(1, 3, 0),
              struct.pack("<HIQ", 1050, 1, 1)]  # fmt: skip
     assert host.handle_batch(2 * SECOND, len(again), b"".join(again)) == []
 
 
-def test_settings_at_fault_become_the_failure_action() -> None:
+def test_invalid_settings_cause_a_fault_action() -> None:
     broken = raw_settings()
     del broken["guarantees"]["cold-ns"]
     wrong = raw_settings(zone="first")
@@ -152,10 +152,10 @@
         assert text in action.text
 
 
-def test_an_exception_while_deciding_becomes_the_failure_action_of_that_instance() -> None:
+def test_exception_in_a_decision_causes_a_fault_action_for_that_instance_only() -> None:
     host = Host()
-    start = [boot(1, raw_settings()), boot(2, raw_settings()), sheet(0, [listed(11)]),
-             roster(1, 3, 0), roster(2, 3, 0), arrival(1, 1, cls=200), arrival(2, 2)]  # fmt: skip
+    start = [boot(1, raw_settings()), boot(2, raw_settings()), numbered_list(0, [listed(11)]),
+             list_ref(1, 3, 0), list_ref(2, 3, 0), arrival(1, 1, cls=200), arrival(2, 2)]  # fmt: skip
     reply = host.handle_batch(SECOND, len(start), b"".join(start))
     [(instance, fault)] = [(i, a) for i, a in reply if isinstance(a, api.Fault)]
     assert instance == 1
@@ -176,8 +176,8 @@
     )
 
 
-def test_the_deploy_files_own_command_answers_over_a_pipe() -> None:
-    start = batch([boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0)])
+def test_command_of_the_deploy_file_answers_over_a_pipe() -> None:
+    start = batch([boot(1, raw_settings()), numbered_list(0, [listed(11)]), list_ref(1, 3, 0)])
     done = run_sim(batch([]) + start + batch([arrival(1, 5)]))
     assert done.returncode == 0, done.stderr
     assert done.stdout.startswith(struct.pack("<II", 0, 0) * 2)
@@ -195,7 +195,7 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_a_peer_message_comes_back_as_it_was_told_within_its_steps() -> None:
+def test_peer_message_round_trip_is_exact_to_its_resolution() -> None:
     told = tuple(api.Observation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
     record = wire.encode_action(4, api.SendToPeer(7, 0.4, told))
     data = record[struct.calcsize("<HIIH") :]
