--- a/tests/disk.py
+++ b/tests/disk.py
@@ -18,7 +18,7 @@
 
 from anisespool.state.store import store_path
 from tests.fleet import Fleet
-from tests.net import UNTIL_S
+from tests.net import WAIT_TIMEOUT_S
 
 FULL = sqlite3.SQLITE_FULL, "database or disk is full"
 IO_ERROR = sqlite3.SQLITE_IOERR, "disk I/O error"
@@ -77,7 +77,7 @@
             return
         if self._go_on and not self._go_on.is_set():
             self.stalled += 1
-            self._go_on.wait(UNTIL_S)
+            self._go_on.wait(WAIT_TIMEOUT_S)
         failure = self.failure
         if failure is None:
             return
--- a/tests/drain_scenario.py
+++ b/tests/drain_scenario.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from anisespool.endpoints.pool import REUSE_DELAY_S
-from tests.net import OK, Peer, World, exchange, member, member_list, until, world
+from tests.net import OK, Harness, Peer, exchange, harness, member, member_list, until
 from tests.observer import Observer, Server
 
 FULL = b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -19,7 +19,7 @@
 class Scene:
     """Two servers, s-0 and s-1, and the list as the test tells it."""
 
-    def __init__(self, it: World, seen: Observer, servers: tuple[Peer, Peer]) -> None:
+    def __init__(self, it: Harness, seen: Observer, servers: tuple[Peer, Peer]) -> None:
         self.it, self.seen, self.servers, self.revision = it, seen, servers, 1
 
     def row(self, n: int, phase: str = "up", **fields: Any) -> dict[str, Any]:
@@ -72,7 +72,7 @@
             else await stack.enter_async_context(Server(seen, f"s-{n}", given).serve())
             for n, given in enumerate((first, second))
         ]  # fmt: skip
-        it = await stack.enter_async_context(world(folder, *peers, **changes))
+        it = await stack.enter_async_context(harness(folder, *peers, **changes))
         found = Scene(it, seen, (peers[0], peers[1]))
         seen.listed(member_list(1, [found.row(0), found.row(1)]))
         yield found
--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""Peers on real loopback sockets for the tests: endpoints, discovery and clients that do as they are told."""
+"""Scripted endpoints, discovery servers and clients on loopback sockets."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from tests.support import raw_settings
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-UNTIL_S, SLACK_S = 15.0, 0.07  # for a condition on a busy machine; past a deadline, as the rules count it
+WAIT_TIMEOUT_S, SLACK_S = 15.0, 0.07  # the slack is the tolerance past a deadline
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(UNTIL_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close with a reset in place of an orderly end."""
+    """Close the connection with RST instead of FIN."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -58,9 +58,9 @@
 
 
 class Peer:
-    """Something that listens on a port of its own."""
+    """A server that listens on its own loopback port."""
 
-    holds = 0  # bytes that the kernel takes for it unread; 0: as many as usual
+    receive_buffer_bytes = 0  # SO_RCVBUF; 0: the system default
 
     def __init__(self) -> None:
         self.connections: list[Streams] = []
@@ -68,8 +68,8 @@
 
     def _listener(self) -> socket.socket:
         listener = socket.socket()
-        if self.holds:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.holds)
+        if self.receive_buffer_bytes:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.receive_buffer_bytes)
         listener.bind(("127.0.0.1", 0))
         return listener
 
@@ -89,13 +89,13 @@
 
 
 class Endpoint(Peer):
-    """Answers each request with `answer`: bytes to write, or a coroutine that plays with the streams."""
+    """Answers each request with `answer`: bytes to write, or a coroutine that is given the streams."""
 
     def __init__(self, answer: bytes | Callable[..., Awaitable[None]] = OK) -> None:
         super().__init__()
         self.answer = answer
         self.requests: list[http1.Request] = []
-        self.ended = 0  # connections that the peer has closed
+        self.ended = 0  # connections closed by the other side
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections.append((reader, writer))
@@ -110,13 +110,13 @@
 
 
 def held_until(release: asyncio.Event) -> Callable[..., Awaitable[None]]:
-    """An endpoint that answers nothing before the event."""
+    """An `answer` for Endpoint that waits for the event before it responds."""
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(OK)
 
-    return play
+    return respond
 
 
 def member(endpoint_id: str, address: Address, phase: str = "up", **fields: Any) -> dict[str, Any]:
@@ -130,7 +130,7 @@
 
 
 class Discovery(Peer):
-    """A watch that says what the test tells it to say."""
+    """A discovery server whose watch streams the lines that the test sends."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -142,7 +142,7 @@
         self.connections.append((reader, writer))
 
     def say(self, line: bytes | dict[str, Any]) -> None:
-        """A line of the latest watch."""
+        """Send a line on the most recent watch."""
         self.write_line(self.connections[-1][1], line)
 
     @staticmethod
@@ -151,8 +151,8 @@
         writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
 
-class TellingDiscovery(Discovery):
-    """One that tells every watch the same list at once."""
+class StaticDiscovery(Discovery):
+    """A discovery server that sends the same list to every watch when it opens."""
 
     def __init__(self, line: dict[str, Any]) -> None:
         super().__init__()
@@ -164,7 +164,8 @@
 
 
 def settings_json(**changes: Any) -> dict[str, Any]:
-    """The settings of tests/support.py, with names: class `look` is safe, `keyed` keyed, `once` unsafe."""
+    """The settings of tests/support.py, with names: class `look` is safe, `keyed` idempotent by
+    key, `once` unsafe."""
     raw = raw_settings(**changes)
     for row, name in zip(raw["request-classes"], ("look", "keyed", "once"), strict=True):
         row["name"] = name
@@ -176,7 +177,7 @@
     folder: Path, discovery: Address, /, known: list[dict[str, Any]], listen: str = "127.0.0.1:0",
     **changes: Any,
 ) -> dict[str, str]:  # fmt: skip
-    """The configuration file, and the environment that names it."""
+    """Write the configuration file and return the environment variables for it."""
     raw = {"name": "n0", "seed": "8c1f", "limits": {"sockets": 256}, "known": member_list(1, known),
            "settings": settings_json(**changes)}  # fmt: skip
     path = folder / "config.json"
@@ -185,8 +186,8 @@
     return {"LB_NAME": "n0", "LB_LISTEN": listen, "LB_DISCOVERY": where, "LB_CONFIG": str(path)}
 
 
-class World:
-    """A sidecar in this process, its discovery and its endpoints."""
+class Harness:
+    """A sidecar that runs in this process, with its discovery server and endpoints."""
 
     def __init__(self, address: Address, discovery: Discovery, stop: asyncio.Event, task: asyncio.Task[None],
                  service: Service) -> None:  # fmt: skip
@@ -196,7 +197,9 @@
 
 
 @asynccontextmanager
-async def world(folder: Path, *endpoints: Peer, admin: bool = False, **changes: Any) -> AsyncIterator[World]:
+async def harness(
+    folder: Path, *endpoints: Peer, admin: bool = False, **changes: Any
+) -> AsyncIterator[Harness]:
     async with Discovery().serve() as discovery:
         known = [member(f"s-{n}", endpoint.address) for n, endpoint in enumerate(endpoints)]
         env = write_config(folder, discovery.address, known, **changes)
@@ -206,7 +209,7 @@
         service = Service(config)
         task = asyncio.create_task(service.run(stop, asyncio.Queue(), listening.set_result))
         try:
-            it = World(await listening, discovery, stop, task, service)
+            it = Harness(await listening, discovery, stop, task, service)
             it.admin = config.admin
             yield it
         finally:
@@ -227,7 +230,7 @@
 
 
 async def exchange(address: Address, data: bytes) -> http1.Response:
-    """One request on a connection of its own."""
+    """Send one request on a new connection."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
--- a/tests/scale_path/sidecar.py
+++ b/tests/scale_path/sidecar.py
@@ -18,7 +18,7 @@
 import psutil
 
 from anisespool.config import Address
-from tests.net import TellingDiscovery, exchange, free_port, member, member_list, write_config
+from tests.net import StaticDiscovery, exchange, free_port, member, member_list, write_config
 from tests.scale_path.figures import Used
 from tests.scale_path.generator import Plan, Result
 
@@ -43,7 +43,7 @@
     peers: bool = False  # datagrams to the fleet's sidecars, which nobody reads
 
 
-class List(TellingDiscovery):
+class List(StaticDiscovery):
     """A watch that goes on: empty lines, and changes where they are wanted."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
--- a/tests/syscalls.py
+++ b/tests/syscalls.py
@@ -1,4 +1,4 @@
-"""System calls on sockets of this process that fail as a test says, with any errno."""
+"""Fault injection for socket system calls of this process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def listens_at(address: Address) -> Matches:
-    """The calls of the listener at that address."""
+    """Matches calls on the listener at that address."""
 
     def matches(sock: socket.socket, arguments: tuple[Any, ...]) -> bool:
         return bool(sock.getsockname()[1] == address.port)
@@ -27,8 +27,8 @@
     return matches
 
 
-def goes_to(address: Address) -> Matches:
-    """The connects to that address."""
+def connects_to(address: Address) -> Matches:
+    """Matches connect calls to that address."""
 
     def matches(sock: socket.socket, arguments: tuple[Any, ...]) -> bool:
         return bool(arguments[0][1] == address.port)
@@ -37,7 +37,7 @@
 
 
 def is_connected_to(address: Address) -> Matches:
-    """The calls on connections whose other side is at that address."""
+    """Matches calls on connections whose peer is at that address."""
 
     def matches(sock: socket.socket, arguments: tuple[Any, ...]) -> bool:
         try:
@@ -49,7 +49,7 @@
 
 
 def is_accepted_at(address: Address) -> Matches:
-    """The calls on connections that were accepted at that address."""
+    """Matches calls on connections accepted at that address."""
 
     def matches(sock: socket.socket, arguments: tuple[Any, ...]) -> bool:
         try:
@@ -62,27 +62,27 @@
 
 
 def os_error(number: int) -> OSError:
-    """As the interpreter raises it, of the subclass that goes with the number."""
+    """The OSError subclass that the interpreter raises for this errno."""
     return OSError(number, os.strerror(number))
 
 
 @pytest.fixture(autouse=True)
 def no_traceback(capfd: pytest.CaptureFixture[str], caplog: pytest.LogCaptureFixture) -> Iterator[None]:
-    """Wherever it is imported: no test writes one, nor does the loop."""
+    """In modules that import it, fails a test that prints a traceback or logs an asyncio error."""
     yield
     assert "Traceback" not in capfd.readouterr().err
     assert not [r for r in caplog.get_records("call") if r.name == "asyncio"]
 
 
 class FailingCall:
-    """The next `times` matching calls fail; `failed` counts those that did."""
+    """Makes the next `times` matching calls fail; `failed` counts the failures."""
 
     def __init__(
         self, monkeypatch: pytest.MonkeyPatch, name: str, number: int, times: int, matches: Matches = always,
         before: Callable[[socket.socket], None] | None = None, after: int = 0,
     ) -> None:  # fmt: skip
-        """`name`: a method of socket.socket, __init__ for socket(2), where the taking over of a descriptor is
-        none. `number`: the errno. `before`: done as the call fails. `after`: so many succeed first."""
+        """`name`: a method of socket.socket, or __init__ for socket(2); wrapping a descriptor doesn't count.
+        `number`: the errno. `before`: runs when the call fails. `after`: calls that succeed first."""
         real = getattr(socket.socket, name)
         self.failed = 0
         passed = 0
@@ -102,14 +102,14 @@
         monkeypatch.setattr(socket.socket, name, call, raising=False)
 
 
-def take_and_drop(listener: socket.socket) -> None:
-    """What the kernel does to a connection of which accept(2) reports an error: it is off the queue."""
+def accept_and_close(listener: socket.socket) -> None:
+    """Remove a connection from the queue, as the kernel does when accept(2) reports its error."""
     descriptor, _ = listener._accept()  # type: ignore[attr-defined]
     os.close(descriptor)
 
 
 class ShortCall:
-    """Matching calls of send or recv_into take that many bytes at most; `calls` counts them."""
+    """Limits matching send or recv_into calls to `nbytes` bytes; `calls` counts them."""
 
     def __init__(
         self, monkeypatch: pytest.MonkeyPatch, name: str, nbytes: int, matches: Matches = always
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: a line in, a line out, whatever the callers do."""
+"""The admin address: one request line and one response line per connection, for any caller behaviour."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from anisespool.errors import UnknownServer
 from anisespool.front.listener import open_listener
 
-CALL_S = 1.0  # a caller waits no longer
+CALL_S = 1.0  # maximum response time
 
 
 async def call(address: Address, data: bytes, *, end: bool = False) -> bytes:
@@ -30,7 +30,7 @@
 
 
 async def until_ready(admin: Address) -> None:
-    """Until the process at this operators' address says READY."""
+    """Wait until READY succeeds at this admin address."""
     while True:
         try:
             if (await call(admin, b"READY\n")).startswith(b"SUCCESS"):
@@ -65,7 +65,7 @@
     [
         (b"READY\n", b"SUCCESS serving\n", ["READY"]),
         (b"READY\r\n", b"SUCCESS serving\n", ["READY"]),
-        (b"READY\nDISABLE s-1\n", b"SUCCESS serving\n", ["READY"]),  # one line to a connection
+        (b"READY\nDISABLE s-1\n", b"SUCCESS serving\n", ["READY"]),  # one line per connection
         (b"DISABLE s-1\n", b"SUCCESS done\n", ["s-1"]),
         (b"DISABLE s-9\n", b"FAILURE no server s-9 [UnknownServer: ", ["s-9"]),
         (b"DISABLE\n", b"FAILURE DISABLE takes the id of a server", []),
@@ -80,10 +80,10 @@
     ],
 )
 async def test_a_line_gets_one_line_and_the_end(line: bytes, answer: bytes, asked: list[str]) -> None:
-    async with operators_address() as (address, heard):
+    async with operators_address() as (address, received):
         got = await call(address, line)
         assert got.startswith(answer) and got.count(b"\n") == 1 and got.endswith(b"\n")
-        assert heard == asked
+        assert received == asked
 
 
 async def test_a_line_may_come_in_pieces_or_end_with_the_callers_side() -> None:
@@ -115,7 +115,7 @@
 
 
 async def test_a_call_that_waits_is_not_ended_for_those_that_have_had_their_answer() -> None:
-    """As an order does, while someone asks READY again and again."""
+    """A DISABLE is pending while other callers send READY repeatedly."""
     release = asyncio.Event()
 
     async def order(argument: str) -> str:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever is sent to the sidecar's ports is refused or ended within 3 s, and nothing of it is left."""
+"""Invalid input on the sidecar's ports is rejected or closed within 3 s and leaves no state behind."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from anisespool.config import Address
 from anisespool.endpoints import endpoints
 from anisespool.front import timeouts
-from tests.net import Endpoint, exchange, raw_call, read_response, reset, until, world
+from tests.net import Endpoint, exchange, harness, raw_call, read_response, reset, until
 from tests.syscalls import no_traceback
 from tests.test_admin import call
 
 __all__ = ["no_traceback"]  # a fixture
 
-END_S = 3.0  # by the operators' terms
-EACH = 5  # connections for each kind of bad input
+END_TIMEOUT_S = 3.0  # from the service's requirements
+CONNECTIONS_PER_INPUT = 5  # per kind of bad input
 
 POST = raw_call("once")
 CHUNKED = POST.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-TO_CLIENTS = {
+BAD_REQUESTS = {
     "zeroes": b"\x00" * 100,
     "blank lines": b"\r\n" * 5000,
     "a hello of TLS": b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + b"\x07" * 500,
@@ -47,12 +47,12 @@
 
 
 async def answer_or_end(address: Address, data: bytes) -> float:
-    """When it came, in seconds; anything else than a refusal or an end fails."""
+    """Seconds until an error response or the close of the connection; fails on any other response."""
     reader, writer = await asyncio.open_connection(*address)
     began = monotonic()
     try:
         writer.write(data)
-        async with asyncio.timeout(2 * END_S):
+        async with asyncio.timeout(2 * END_TIMEOUT_S):
             with suppress(ConnectionError, EOFError):
                 status = (await read_response(reader)).status
                 assert 400 <= status < 600
@@ -64,18 +64,22 @@
 async def test_bad_input_from_clients_is_refused_or_ended_in_time_and_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """With a shorter wait for a request, that a busy machine makes no difference; tests/test_crowds.py holds
-    the real one against the 3 s."""
+    """Uses a shorter request timeout, so that a busy machine doesn't matter; tests/test_crowds.py checks the
+    real one against the 3 s."""
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.75)
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as it:
         assert (await exchange(it.address, raw_call())).status == 200
         service = it.service
         await until(lambda: not service._server.connections)
         descriptors = len(os.listdir("/proc/self/fd"))
-        calls = [answer_or_end(it.address, data) for data in TO_CLIENTS.values() for _ in range(EACH)]
+        calls = [
+            answer_or_end(it.address, data)
+            for data in BAD_REQUESTS.values()
+            for _ in range(CONNECTIONS_PER_INPUT)
+        ]
         took = await asyncio.gather(*calls)
-        assert max(took) < END_S
-        for data in TO_CLIENTS.values():  # and with a reset behind it
+        assert max(took) < END_TIMEOUT_S
+        for data in BAD_REQUESTS.values():  # and followed by a reset
             _, writer = await asyncio.open_connection(*it.address)
             writer.write(data)
             reset(writer)
@@ -88,10 +92,10 @@
 
 
 async def test_bad_input_from_operators_is_refused_or_ended_in_time(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint, admin=True) as it:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint, admin=True) as it:
         assert it.admin
-        for data in TO_CLIENTS.values():
-            if b"\n" in data or len(data) > 1000:  # a whole line, or too much of one
+        for data in BAD_REQUESTS.values():
+            if b"\n" in data or len(data) > 1000:  # a complete line, or one over the length limit
                 assert (await call(it.admin, data)).startswith(b"FAILURE")
             _, writer = await asyncio.open_connection(*it.admin)
             writer.write(data)
@@ -121,7 +125,7 @@
         writer.write(data)
         writer.close()
 
-    async with Endpoint(answer).serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint(answer).serve() as endpoint, harness(tmp_path, endpoint) as it:
         replies = await asyncio.gather(
             *(exchange(it.address, raw_call(cls, left_ms=1500)) for cls in ("once", "look") for _ in range(3))
         )
--- a/tests/test_clock_starts.py
+++ b/tests/test_clock_starts.py
@@ -15,7 +15,7 @@
 from anisespool.servers import MAX_LIST_DELAY_NS, Servers
 from anisespool.state.records import Order
 from shuntlead.interface import EndpointState, ListedEndpoint, ListForm
-from tests.net import Endpoint, TellingDiscovery, member, member_list
+from tests.net import Endpoint, StaticDiscovery, member, member_list
 from tests.support import MS, SECOND, raw_settings
 from tests.test_cold_processes import Arrivals
 from tests.test_fleet import answer_slowly, load
@@ -38,7 +38,7 @@
     warm, cold = Endpoint(answer_slowly), Arrivals(arrived)
     async with warm.serve(), cold.serve(), stepped(tmp_path) as (it, clock):
         rows = [member(f"s-{n}", warm.address) for n in range(WARM)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
             clock.step_to(step_s)
             if restarts:
@@ -68,7 +68,7 @@
     warm, cold = Endpoint(answer_slowly), Endpoint(answer_slowly)
     async with warm.serve(), cold.serve(), stepped(tmp_path) as (it, clock):
         rows = [member("s-0", warm.address)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows, **changes)
             clock.step_to(step_s)
             if restarts:
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.fleet import fleet
-from tests.net import Discovery, Endpoint, TellingDiscovery, member, member_list
+from tests.net import Discovery, Endpoint, StaticDiscovery, member, member_list
 from tests.support import raw_settings
 from tests.test_fleet import answer_slowly, load
 
@@ -30,7 +30,7 @@
         warm = await stack.enter_async_context(Endpoint(answer_slowly).serve())
         cold = [await stack.enter_async_context(Arrivals(times).serve()) for times in arrived]
         rows = [member(f"s-{n}", warm.address) for n in range(WARM)]
-        discovery = await stack.enter_async_context(TellingDiscovery(member_list(2, rows)).serve())
+        discovery = await stack.enter_async_context(StaticDiscovery(member_list(2, rows)).serve())
         sidecars = await stack.enter_async_context(fleet(tmp_path, COUNT))
         sidecars.relay.cut = lambda x, y: True
         await asyncio.gather(*(sidecars.start(n, discovery.address, rows) for n in range(COUNT)))
--- a/tests/test_connect_failures.py
+++ b/tests/test_connect_failures.py
@@ -12,9 +12,9 @@
 from anisespool.config import Address
 from anisespool.endpoints import endpoints
 from shuntlead.interface import Status
-from tests.net import Endpoint, exchange, raw_call, read_response, until, world
+from tests.net import Endpoint, exchange, harness, raw_call, read_response, until
 from tests.support import SECOND
-from tests.syscalls import FailingCall, always, goes_to, no_traceback
+from tests.syscalls import FailingCall, always, connects_to, no_traceback
 from tests.test_endpoints import CONNECT_NS, Driver
 
 __all__ = ["no_traceback"]  # a fixture
@@ -44,7 +44,7 @@
     monkeypatch.setattr(endpoints, "LOG_INTERVAL_S", 60.0)
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
-        matches = goes_to(endpoint.address) if name == "connect" else always
+        matches = connects_to(endpoint.address) if name == "connect" else always
         failing = FailingCall(monkeypatch, name, number, 3, matches)
         attempt = await driver.result()
         assert (attempt.status, failing.failed) == (Status.OK, 3)
@@ -62,7 +62,7 @@
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         monkeypatch.setattr(driver.endpoints, "_connect_timeout_s", 0.1)
-        failing = FailingCall(monkeypatch, "connect", number, 1_000_000, goes_to(endpoint.address))
+        failing = FailingCall(monkeypatch, "connect", number, 1_000_000, connects_to(endpoint.address))
         began = monotonic()
         attempts = [driver.send() for _ in range(8)]
         await until(lambda: all(a.status is not None for a in attempts))
@@ -90,7 +90,7 @@
 
         endpoint.answer = held
         (connection,) = driver.endpoints.connections
-        FailingCall(monkeypatch, "connect", number, 1_000_000, goes_to(endpoint.address))
+        FailingCall(monkeypatch, "connect", number, 1_000_000, connects_to(endpoint.address))
         first = driver.send()  # its idle connection has hardly rested
         await until(lambda: len(endpoint.requests) == 2)
         second = driver.send()
@@ -113,7 +113,7 @@
         attempt = driver.send(endpoint=2)
         await until(lambda: attempt.status is Status.OK)
         (elsewhere,) = driver.endpoints.connections
-        FailingCall(monkeypatch, "connect", number, 2, goes_to(endpoint.address))
+        FailingCall(monkeypatch, "connect", number, 2, connects_to(endpoint.address))
         assert (await driver.result()).status is Status.OK
         assert elsewhere not in driver.endpoints.connections and len(asked) == 1
         await is_settled(driver)
@@ -125,7 +125,7 @@
 ) -> None:
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
-        FailingCall(monkeypatch, "connect", number, 1, goes_to(endpoint.address))
+        FailingCall(monkeypatch, "connect", number, 1, connects_to(endpoint.address))
         began = monotonic_ns()
         attempt = await driver.result()
         assert attempt.status is Status.CONNECT_FAILED and monotonic_ns() - began < CONNECT_NS / 2
@@ -138,9 +138,9 @@
 async def test_whatever_one_connect_fails_with_the_request_is_answered_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
-        failing = FailingCall(monkeypatch, "connect", number, 1, goes_to(endpoint.address))
+        failing = FailingCall(monkeypatch, "connect", number, 1, connects_to(endpoint.address))
         writer.write(raw_call("once", left_ms=5000))
         assert (await read_response(reader)).status == 200
         assert failing.failed == 1 and len(endpoint.requests) == 1
@@ -162,11 +162,11 @@
 async def test_a_call_to_discovery_that_fails_is_one_line_and_made_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int
 ) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as it:
         await until(lambda: len(it.discovery.connections) == 1)
         asked: list[float] = []
         monkeypatch.setattr(it.service._watch, "make_room", lambda: asked.append(monotonic()))
-        failing = FailingCall(monkeypatch, "connect", number, 1, goes_to(it.discovery.address))
+        failing = FailingCall(monkeypatch, "connect", number, 1, connects_to(it.discovery.address))
         it.discovery.connections[0][1].transport.abort()
         await until(lambda: len(it.discovery.connections) == 2)
         assert failing.failed == 1 and len(asked) == (number in SHORT)
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -16,7 +16,7 @@
     OK,
     Discovery,
     Endpoint,
-    TellingDiscovery,
+    StaticDiscovery,
     member,
     member_list,
     read_request,
@@ -30,7 +30,7 @@
 REQUESTS = 40
 
 
-class Crowded(TellingDiscovery):
+class Crowded(StaticDiscovery):
     """Answers calls until it is told to refuse them."""
 
     def __init__(self, line: dict[str, Any], ending: str) -> None:
@@ -63,7 +63,7 @@
         servers = [await stack.enter_async_context(Endpoint(OK).serve()) for _ in range(SERVERS)]
         it = await stack.enter_async_context(fleet(folder, FLEET))
         rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
-        answered = await stack.enter_async_context(TellingDiscovery(member_list(2, rows)).serve())
+        answered = await stack.enter_async_context(StaticDiscovery(member_list(2, rows)).serve())
         crowded = await stack.enter_async_context(Crowded(member_list(2, rows), ending).serve())
         for n in range(FLEET):
             await it.start(n, answered.address if n == 1 else crowded.address, rows)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,12 +25,12 @@
     Endpoint,
     Peer,
     exchange,
+    harness,
     member,
     member_list,
     raw_call,
     read_request,
     until,
-    world,
     write_config,
 )
 from tests.support import SECOND
@@ -221,7 +221,7 @@
 
 async def test_the_watch_survives_bad_lines_and_ends_and_takes_up_where_it_was(tmp_path: Path) -> None:
     old, new = Endpoint(), Endpoint()
-    async with old.serve(), new.serve(), world(tmp_path, old) as sidecar:
+    async with old.serve(), new.serve(), harness(tmp_path, old) as sidecar:
         watch = sidecar.discovery
         await until(lambda: len(watch.connections) == 1)
         assert watch.targets == [b"/v1/servers?stream=1&index=1"]
--- a/tests/test_disk_ends.py
+++ b/tests/test_disk_ends.py
@@ -24,7 +24,7 @@
 from anisespool.state.store import Order, Store, store_path
 from anisespool.upgrade_locks import UpgradeLocks
 from tests.disk import FULL, FailingDisk, failing_disk, stored_orders
-from tests.net import TellingDiscovery, free_port, member, member_list, until, write_config
+from tests.net import StaticDiscovery, free_port, member, member_list, until, write_config
 from tests.test_admin import call
 from tests.test_maintenance import ADDRESS, Process
 from tests.test_stored_list import stored
@@ -68,7 +68,7 @@
 
     rows = [member("s-0", ADDRESS), member("s-1", ADDRESS)]
     async with (
-        TellingDiscovery(member_list(2, rows)).serve() as discovery,
+        StaticDiscovery(member_list(2, rows)).serve() as discovery,
         serving(tmp_path, discovery.address) as (service, admin),
     ):
         await until(lambda: stored(tmp_path)[0] == 2)
@@ -90,7 +90,7 @@
     tmp_path: Path, disk: FailingDisk
 ) -> None:
     async with (
-        TellingDiscovery(member_list(2, [member("s-0", ADDRESS)])).serve() as discovery,
+        StaticDiscovery(member_list(2, [member("s-0", ADDRESS)])).serve() as discovery,
         serving(tmp_path, discovery.address) as (_, admin),
     ):
         disk.fail(FULL)
--- a/tests/test_drain_paths.py
+++ b/tests/test_drain_paths.py
@@ -18,7 +18,7 @@
 from tests.observer import DEADLINE_SLACK_S, Observer, Server
 from tests.support import SECOND
 from tests.test_deadlines import LONG_DEADLINE
-from tests.test_gone import SlowDial
+from tests.test_gone import DelayedAccept
 
 STALL_S = 0.15  # of the process, between a decision and what follows from it
 ROOM_S = 0.04  # for a busy machine to wake late
@@ -58,7 +58,7 @@
 async def test_what_waits_for_a_handshake_as_the_server_drains_goes_elsewhere(
     tmp_path: Path, phase: str
 ) -> None:
-    async with SlowDial().serve() as dial:
+    async with DelayedAccept().serve() as dial:
         slow = Endpoint()
         slow.address = dial.address
         async with scene(tmp_path, slow, allowed__connect_timeout_ns=5 * SECOND) as it:
@@ -67,7 +67,7 @@
             await until(lambda: it.it.service._endpoints._opening == 5)
             await it.tell(it.row(0, phase), it.row(1, "up"))
             assert [await answer for answer in waiting] == [200] * 5
-            await dial.come_up()
+            await dial.accept_connection()
             assert dial.received == b"" and len(set(it.seen.traces("s-1"))) == 5
 
 
@@ -90,7 +90,7 @@
 class Deaf(Server):
     """Answers the first request at once and reads no more of it, nor of what follows, until it is let."""
 
-    holds = 4096
+    receive_buffer_bytes = 4096
 
     def __init__(self, seen: Observer, name: str) -> None:
         super().__init__(seen, name)
--- a/tests/test_drain_restart.py
+++ b/tests/test_drain_restart.py
@@ -9,7 +9,7 @@
 
 from anisespool.config import Address
 from tests.fleet import Fleet, fleet
-from tests.net import TellingDiscovery, member, member_list, until
+from tests.net import StaticDiscovery, member, member_list, until
 from tests.observer import Observer, Server
 from tests.test_stored_list import stored
 
@@ -40,7 +40,7 @@
         known = [member("s-0", first.address), member("s-1", second.address)]
         out = [] if how == "absent" else [known[0] | {"phase": how}]
         told = member_list(revision, [*out, known[1]], complete=how != "removed")
-        async with TellingDiscovery(told).serve() as discovery:
+        async with StaticDiscovery(told).serve() as discovery:
             await it.start(0, discovery.address, known)
             await until(lambda: stored(it.home(0))[0] == revision)
             seen.listed(member_list(1, known))
@@ -64,7 +64,7 @@
         first, second = [await stack.enter_async_context(Server(seen, f"s-{n}").serve()) for n in range(2)]
         it = await stack.enter_async_context(fleet(tmp_path, 1))
         known = [member("s-0", first.address), member("s-1", second.address)]
-        async with TellingDiscovery(member_list(2, known)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, known)).serve() as discovery:
             await it.start(0, discovery.address, known)
             assert (await it.ask(0, "DISABLE s-0")).startswith("SUCCESS")
             assert (await served(it, seen, "out"))["s-0"] == 0
@@ -73,7 +73,7 @@
         assert (await served(it, seen, "down"))["s-0"] == 0
         await it.kill(0)
         anew = [known[0] | {"up_since_ms": 1}, known[1]]
-        async with TellingDiscovery(member_list(10, anew)).serve() as discovery:
+        async with StaticDiscovery(member_list(10, anew)).serve() as discovery:
             await it.start(0, discovery.address, known)
             await until(lambda: stored(it.home(0))[0] == 10)
             assert (await served(it, seen, "anew"))["s-0"] == 0
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver between a scripted module and its peers."""
+"""The driver with a scripted decision module and real endpoints."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from tests.test_sidecar import NEVER_RAN
 
 
-class Module:
-    """In the place of the decision module: does what the test says."""
+class ScriptedModule:
+    """Stands in for the decision module and returns the actions that the test gives."""
 
     def __init__(self, decide: Callable[[api.Event], list[api.Action]]) -> None:
         self.decide = decide
@@ -43,10 +43,10 @@
         return [e for e in self.events if isinstance(e, api.Outcome)]
 
 
-class Driven:
-    """The driver with a stand-in for the module, and what its clients were answered."""
+class ScriptedDriver:
+    """The driver with a scripted decision module, and the answers to its clients."""
 
-    def __init__(self, sidecar: Sidecar, module: Module) -> None:
+    def __init__(self, sidecar: Sidecar, module: ScriptedModule) -> None:
         self.sidecar, self.module = sidecar, module
         self.answers: list[Answer] = []
 
@@ -55,15 +55,15 @@
 
 
 @asynccontextmanager
-async def driven(
+async def scripted(
     folder: Path, endpoint: Endpoint, decide: Callable[[api.Event], list[api.Action]]
-) -> AsyncIterator[Driven]:
+) -> AsyncIterator[ScriptedDriver]:
     config = load(write_config(folder, endpoint.address, [member("s-0", endpoint.address)]))
     sidecar = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16))
-    module = Module(decide)
+    module = ScriptedModule(decide)
     sidecar.decision_queue.module = module
     sidecar.apply_list(config.known, ListForm.CACHED)
-    yield Driven(sidecar, module)
+    yield ScriptedDriver(sidecar, module)
 
 
 def silent(event: api.Event) -> list[api.Action]:
@@ -75,7 +75,7 @@
 
 
 async def test_the_driver_answers_for_a_silent_module_in_time(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
+    async with Endpoint(say_nothing).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         began = monotonic()
         it.take(left_ns=100 * MS)
         await until(lambda: bool(it.answers))
@@ -90,16 +90,16 @@
 ) -> None:
     def decide(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request | api.Outcome) and event.request == 1:
-            raise RuntimeError("no idea")
+            raise RuntimeError("scripted failure")
         return send_once(event)
 
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
+    async with Endpoint().serve() as endpoint, scripted(tmp_path, endpoint, decide) as it:
         it.take()
         assert [a.status for a in it.answers] == [504]
         it.take()
         await until(lambda: len(it.answers) == 2)
         assert it.answers[1].status == 200 and not it.sidecar._exchanges
-    assert "no idea" in capfd.readouterr().err
+    assert "scripted failure" in capfd.readouterr().err
 
 
 async def test_nothing_follows_the_final_answer(tmp_path: Path) -> None:
@@ -109,7 +109,7 @@
             return [api.Send(n, 1), api.Refuse(n, 250 * MS), api.Fail(n), api.Send(n, 1), api.Cancel(n, 0)]
         return []
 
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
+    async with Endpoint().serve() as endpoint, scripted(tmp_path, endpoint, decide) as it:
         it.take()
         await until(lambda: bool(it.module.outcomes()))
         assert it.answers == [Answer(503, b"refused\n", 0.25)]
@@ -123,7 +123,7 @@
             [api.Send(event.request, 1), api.Send(event.request, 1)] if isinstance(event, api.Request) else []
         )
 
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
+    async with Endpoint().serve() as endpoint, scripted(tmp_path, endpoint, decide) as it:
         it.take()
         await until(lambda: len(it.module.outcomes()) == 2)
         assert it.answers == [Answer(200, b"ok")]
@@ -132,7 +132,7 @@
 
 
 async def test_turned_away_when_the_request_is_over_is_moot(tmp_path: Path) -> None:
-    async with Endpoint(NEVER_RAN).serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
+    async with Endpoint(NEVER_RAN).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         it.sidecar.on_client_gone(it.take())
         it.take()
         await until(lambda: len(it.module.outcomes()) == 2)
@@ -142,7 +142,7 @@
 
 
 async def test_the_module_hears_of_a_drain_before_the_attempts_that_it_ends(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
+    async with Endpoint().serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         it.take()
         raw = member_list(2, [member("s-0", endpoint.address, "draining")], complete=False)
         config = load(write_config(tmp_path, endpoint.address, []))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from shuntlead.peer_codec import encode_reports
 from shuntlead.quotas import MIN_ADMITTED_SHARE, REPORT_LIFETIME_NS
 from tests.fleet import Fleet, fleet
-from tests.net import OK, Endpoint, TellingDiscovery, member, member_list, reset
+from tests.net import OK, Endpoint, StaticDiscovery, member, member_list, reset
 
 pytestmark = pytest.mark.xdist_group("many processes")  # run serially: they measure rates
 BUSY = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nEndpoint-Load-Metrics: TEXT queue=0, util=0.99\r\n\r\nok"
@@ -56,7 +56,7 @@
     """Starts `count` sidecars with eight servers at one address, and the servers in `more`."""
     await stack.enter_async_context(server.serve())
     rows = [*(member(f"s-{n}", server.address) for n in range(8)), *more]
-    discovery = await stack.enter_async_context(TellingDiscovery(member_list(2, rows)).serve())
+    discovery = await stack.enter_async_context(StaticDiscovery(member_list(2, rows)).serve())
     it = await stack.enter_async_context(fleet(folder, count))
     it.discovery, it.rows = discovery.address, rows
     await asyncio.gather(*(it.start(n, it.discovery, rows, **SETTINGS) for n in range(count)))
--- a/tests/test_full_disk.py
+++ b/tests/test_full_disk.py
@@ -16,7 +16,7 @@
 from anisespool.state.store import store_path
 from tests.disk import fill, free, stored_orders
 from tests.fleet import Fleet, fleet
-from tests.net import OK, UNTIL_S, Endpoint, TellingDiscovery, member, member_list, until
+from tests.net import OK, WAIT_TIMEOUT_S, Endpoint, StaticDiscovery, member, member_list, until
 from tests.test_stored_list import stored
 
 SERVERS = 3
@@ -27,7 +27,7 @@
 class Site:
     """One sidecar, started again and again, its discovery and its servers."""
 
-    def __init__(self, it: Fleet, discovery: TellingDiscovery, servers: list[Endpoint]) -> None:
+    def __init__(self, it: Fleet, discovery: StaticDiscovery, servers: list[Endpoint]) -> None:
         self.fleet, self.discovery, self.servers = it, discovery, servers
         self.rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
         discovery.line = member_list(2, self.rows)
@@ -48,7 +48,7 @@
     async def until_out(self, servers: Collection[str]) -> None:
         """The sidecar's own STATE has just these out, in time."""
         expected = f"{len(servers)} out: {' '.join(sorted(servers))}"
-        async with asyncio.timeout(UNTIL_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while await self.out() != expected:
                 await asyncio.sleep(0.01)
 
@@ -71,7 +71,7 @@
     servers = [Endpoint(OK) for _ in range(SERVERS)]
     async with (
         servers[0].serve(), servers[1].serve(), servers[2].serve(),
-        TellingDiscovery({}).serve() as discovery, fleet(folder, 1) as it,
+        StaticDiscovery({}).serve() as discovery, fleet(folder, 1) as it,
     ):  # fmt: skip
         yield Site(it, discovery, servers)
 
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -1,4 +1,4 @@
-"""Legal but hostile figures neither raise nor break a rule; other deployments' settings run."""
+"""Extreme but valid values neither raise nor violate an invariant; other settings work too."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_a_sidecar_that_sends_little_tries_a_failed_endpoint_again() -> None:
-    """At one request in two seconds, samples are rare; a bad one must not last for ever."""
+    """At one request every 2 s samples are rare; a bad one must not exclude an endpoint permanently."""
     car = Sidecar([listed(1), listed(2), listed(3)])
     for _ in range(6):
         for send in sends(car.request(cls=2)):
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0, 0.0, 3e38])
 def test_peer_figures_of_any_kind(figure: float) -> None:
-    """Operators carry messages as they like: what a peer tells may be anything."""
+    """Deployments choose the transport of peer messages, so their values may be anything."""
     car = Sidecar([listed(1), listed(2)], allowed__peers=True)
     seen = (api.Observation(1, figure, figure, -(10**18)), api.Observation(7, figure, figure, 10**18))
     for _ in range(50):
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Framing does not depend on how the bytes are cut, and no bytes are too strange for it."""
+"""Parsing doesn't depend on how the bytes are split into reads, and no input raises."""
 
 from __future__ import annotations
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Bodies too long to hold: passed on as they come, whole or visibly not, with bounded memory."""
+"""Bodies over the buffering limit are streamed: complete or visibly truncated, with bounded memory."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     OK,
     Endpoint,
     exchange,
+    harness,
     raw_call,
     read_head,
     read_response,
     reset,
     until,
-    world,
 )
 from tests.support import SECOND, raw_settings
 from tests.test_sidecar import slow
 
-LONG = bytes(range(251)) * 4000  # about 1 MB, and no power of two to line up with any buffer
-PLENTY = 32 << 20
+LONG_BODY = bytes(range(251)) * 4000  # about 1 MB, not a multiple of any buffer size
+LARGE_BODY_BYTES = 32 << 20
 CLASSES = [row | {"deadline-ns": 8 * SECOND, "late-worth": 0.5} for row in raw_settings()["request-classes"]]
 
 
@@ -46,8 +46,8 @@
     return post(body, b"Content-Length: %d" % len(body))
 
 
-class Reading(Endpoint):
-    """Takes a body of any length, and keeps how long it was and its digest alone."""
+class BodySink(Endpoint):
+    """Reads a body of any length and keeps only its length and digest."""
 
     def __init__(self, answer: bytes = OK, pause_s: float = 0.0) -> None:
         super().__init__(answer)
@@ -93,15 +93,15 @@
 @pytest.mark.parametrize(
     ("request_", "framing"),
     [
-        (plain(LONG), b"Content-Length: %d" % len(LONG)),
-        (post(chunked(LONG, 7000), b"Transfer-Encoding: chunked"), b"Transfer-Encoding: chunked"),
-        (post(chunked(LONG, 300_000, b"X-Sum: 7\r\n"), b"Transfer-Encoding: chunked"), b"chunked"),
+        (plain(LONG_BODY), b"Content-Length: %d" % len(LONG_BODY)),
+        (post(chunked(LONG_BODY, 7000), b"Transfer-Encoding: chunked"), b"Transfer-Encoding: chunked"),
+        (post(chunked(LONG_BODY, 300_000, b"X-Sum: 7\r\n"), b"Transfer-Encoding: chunked"), b"chunked"),
     ],
 )
 async def test_a_long_body_arrives_unchanged_and_the_next_request_too(
     tmp_path: Path, request_: bytes, framing: bytes
 ) -> None:
-    async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
+    async with BodySink().serve() as endpoint, harness(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         writer.write(request_ + raw_call("once", "t2", body=b"short"))  # pipelined behind it
         got = b""
@@ -109,38 +109,38 @@
             data = await reader.read(65536)
             assert data
             got += data
-        assert endpoint.bodies == [body(LONG), body(b"short")]
+        assert endpoint.bodies == [body(LONG_BODY), body(b"short")]
         assert framing in endpoint.heads[0] and b"X-Trace-Id: t1" in endpoint.heads[0]
         writer.close()
 
 
 async def test_a_chunked_body_in_pieces_of_a_byte_grows_too_long_to_hold(tmp_path: Path) -> None:
-    data = LONG[:70_000]
-    async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
+    data = LONG_BODY[:70_000]
+    async with BodySink().serve() as endpoint, harness(tmp_path, endpoint, request_classes=CLASSES) as it:
         response = await exchange(it.address, post(chunked(data, 1), b"Transfer-Encoding: chunked"))
         assert response.status == 200 and endpoint.bodies == [body(data)]
 
 
 async def test_a_client_that_asks_first_is_told_to_go_on(tmp_path: Path) -> None:
-    async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
+    async with BodySink().serve() as endpoint, harness(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
-        head, _, rest = plain(LONG).partition(b"\r\n\r\n")
+        head, _, rest = plain(LONG_BODY).partition(b"\r\n\r\n")
         writer.write(head + b"\r\nExpect: 100-continue\r\n\r\n")
         assert await read_head(reader) == b"HTTP/1.1 100 Continue\r\n\r\n"
         writer.write(rest)
         assert (await read_response(reader)).status == 200
-        assert endpoint.bodies == [body(LONG)]
+        assert endpoint.bodies == [body(LONG_BODY)]
         writer.close()
 
 
-WAYS: dict[str, bytes] = {
-    "told": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG,
+FRAMINGS: dict[str, bytes] = {
+    "told": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY,
     "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    + chunked(LONG, 9999, b"X-Sum: 7\r\n"),
+    + chunked(LONG_BODY, 9999, b"X-Sum: 7\r\n"),
     "announced": b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
-    + b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG)
-    + LONG,
-    "to the end": b"HTTP/1.1 200 OK\r\n\r\n" + LONG,
+    + b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY)
+    + LONG_BODY,
+    "to the end": b"HTTP/1.1 200 OK\r\n\r\n" + LONG_BODY,
 }
 
 
@@ -151,10 +151,10 @@
 async def test_a_long_body_that_turns_out_broken_is_rejected_and_never_runs(
     tmp_path: Path, rest: bytes, status: int
 ) -> None:
-    async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
+    async with BodySink().serve() as endpoint, harness(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
-        writer.write(post(chunked(LONG, 9000)[:-5], b"Transfer-Encoding: chunked"))
-        await until(lambda: bool(endpoint.heads))  # on its way
+        writer.write(post(chunked(LONG_BODY, 9000)[:-5], b"Transfer-Encoding: chunked"))
+        await until(lambda: bool(endpoint.heads))  # the body is being forwarded
         writer.write(rest)
         assert (await read_response(reader)).status == status
         assert await reader.read() == b""
@@ -165,35 +165,35 @@
 async def test_what_no_server_has_taken_any_of_may_go_to_another_and_the_rest_may_not(tmp_path: Path) -> None:
     with socket.socket() as nobody:
         nobody.bind(("127.0.0.1", 0))
-        gone, good = Endpoint(), Reading()
+        gone, good = Endpoint(), BodySink()
         gone.address = Address(*nobody.getsockname())
-        async with good.serve(), world(tmp_path, gone, good, request_classes=CLASSES) as it:
+        async with good.serve(), harness(tmp_path, gone, good, request_classes=CLASSES) as it:
             for _ in range(8):
-                assert (await exchange(it.address, plain(LONG))).status == 200
-            assert good.bodies == [body(LONG)] * 8
+                assert (await exchange(it.address, plain(LONG_BODY))).status == 200
+            assert good.bodies == [body(LONG_BODY)] * 8
 
-    async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def reset_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(100_000)
         tried.append(1)
         reset(writer)
 
     tried: list[int] = []
-    servers = [await asyncio.start_server(breaks, "127.0.0.1", 0) for _ in range(2)]
+    servers = [await asyncio.start_server(reset_early, "127.0.0.1", 0) for _ in range(2)]
     for n, peer in enumerate((Endpoint(), Endpoint())):
         peer.address = Address(*servers[n].sockets[0].getsockname())
         gone, good = (peer, good) if n == 0 else (gone, peer)  # type: ignore[assignment]
-    async with world(tmp_path, gone, good, request_classes=CLASSES) as it:
-        assert (await exchange(it.address, plain(LONG))).status == 503  # it never came whole: harmless
+    async with harness(tmp_path, gone, good, request_classes=CLASSES) as it:
+        assert (await exchange(it.address, plain(LONG_BODY))).status == 503  # incomplete: can't have run
         assert len(tried) == 1
     for each in servers:
         each.close()
 
 
 async def test_the_time_for_an_answer_starts_with_the_last_byte(tmp_path: Path) -> None:
-    """A client that takes longer to send than it gives the answer is served all the same."""
-    async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
+    """A client whose upload takes longer than its response timeout is still served."""
+    async with BodySink().serve() as endpoint, harness(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
-        data = post(LONG, b"Content-Length: %d" % len(LONG), left_ms=400)
+        data = post(LONG_BODY, b"Content-Length: %d" % len(LONG_BODY), left_ms=400)
         for n in range(0, len(data), 200_000):
             writer.write(data[n : n + 200_000])
             await asyncio.sleep(0.15)
@@ -207,9 +207,9 @@
     monkeypatch.setattr(timeouts, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr(timeouts, "MIN_BODY_BYTES_PER_S", 1e6)
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
-    async with Reading().serve() as endpoint, world(tmp_path, endpoint, request_classes=CLASSES) as it:
+    async with BodySink().serve() as endpoint, harness(tmp_path, endpoint, request_classes=CLASSES) as it:
         reader, writer = await asyncio.open_connection(*it.address)
-        writer.write(plain(LONG)[:300_000])
+        writer.write(plain(LONG_BODY)[:300_000])
         assert (await read_response(reader)).status == 408
         await until(lambda: not endpoint.connections or endpoint.connections[0][0].at_eof())
         assert not endpoint.bodies
@@ -218,7 +218,7 @@
 
 
 async def test_a_body_announced_behind_a_request_is_asked_for_once_that_is_answered(tmp_path: Path) -> None:
-    async with Endpoint(slow(0.1)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(slow(0.1)).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
         second = raw_call("once", "t2", body=b"abc", headers="Expect: 100-continue\r\n")
         writer.write(raw_call() + second[:-3])
@@ -230,9 +230,9 @@
 
 
 async def test_a_head_asks_for_no_body(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)  # or the next request would go on another connection
-    play = b"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n"
-    async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
+    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)  # so that the connection is reused at once
+    reply = b"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n"
+    async with Endpoint(reply).serve() as endpoint, harness(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         for _ in range(2):
             writer.write(raw_call().replace(b"GET", b"HEAD"))
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -1,4 +1,4 @@
-"""Long answers on their way, and peers that stop in the midst of one."""
+"""Streamed long responses, and servers and clients that stop in the middle of one."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from tests.net import (
     Endpoint,
     free_port,
+    harness,
     member,
     raw_call,
     read_head,
     reset,
     until,
-    world,
     write_config,
 )
-from tests.test_long import CLASSES, LONG, PLENTY, WAYS, Reading, post
+from tests.test_long import CLASSES, FRAMINGS, LARGE_BODY_BYTES, LONG_BODY, BodySink, post
 from tests.test_program import start
 
 
-def says(data: bytes, *, end: bool, wait_s: float = 0.0, size: int = 1 << 20) -> Callable[..., Any]:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def respond(data: bytes, *, end: bool, wait_s: float = 0.0, size: int = 1 << 20) -> Callable[..., Any]:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for n in range(0, len(data), size):
             writer.write(data[n : n + size])
             await writer.drain()
@@ -41,10 +41,10 @@
         if end:
             writer.close()
 
-    return play
+    return handler
 
 
-async def all_of(address: Address, request: bytes) -> bytes:
+async def read_all(address: Address, request: bytes) -> bytes:
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(request)
@@ -53,50 +53,50 @@
         writer.close()
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", FRAMINGS)
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 async def test_a_long_answer_arrives_unchanged_in_every_framing(
     tmp_path: Path, way: str, version: bytes
 ) -> None:
-    play = says(WAYS[way], end=way == "to the end")
-    async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
+    handler = respond(FRAMINGS[way], end=way == "to the end")
+    async with Endpoint(handler).serve() as endpoint, harness(tmp_path, endpoint) as it:
         ask = raw_call(headers="Connection: close\r\n").replace(b"HTTP/1.1", b"HTTP/" + version)
-        head, _, rest = (await all_of(it.address, ask)).partition(b"\r\n\r\n")
+        head, _, rest = (await read_all(it.address, ask)).partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200 OK") and b"Connection: close" in head
         if b"chunked" in head:
             assert version == b"1.1"
-            whole = b""
+            decoded = b""
             while rest:
                 size, _, rest = rest.partition(b"\r\n")
-                whole, rest = whole + rest[: int(size, 16)], rest[int(size, 16) + 2 :]
-            rest = whole
-        assert rest == LONG
+                decoded, rest = decoded + rest[: int(size, 16)], rest[int(size, 16) + 2 :]
+            rest = decoded
+        assert rest == LONG_BODY
 
 
 async def test_a_kept_connection_goes_on_after_a_long_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)  # or the next request would go on another connection
-    async with Endpoint(WAYS["told"]).serve() as endpoint, world(tmp_path, endpoint) as it:
+    monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)  # so that the connection is reused at once
+    async with Endpoint(FRAMINGS["told"]).serve() as endpoint, harness(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         for n in range(3):
             writer.write(raw_call(trace=f"t{n}"))
-            assert b"Content-Length: %d" % len(LONG) in await read_head(reader)
-            assert await reader.readexactly(len(LONG)) == LONG
-        assert len(endpoint.connections) == 1  # and so does the one to the server
+            assert b"Content-Length: %d" % len(LONG_BODY) in await read_head(reader)
+            assert await reader.readexactly(len(LONG_BODY)) == LONG_BODY
+        assert len(endpoint.connections) == 1  # the server connection is reused too
         writer.close()
 
 
 async def test_a_slow_answer_of_no_told_length_is_passed_on_as_it_comes(tmp_path: Path) -> None:
-    """Held until it is long, its first bytes come too late."""
+    """Buffering it until it is over the limit would delay its first bytes."""
     begun = asyncio.Event()
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
         await begun.wait()
         writer.write(b"1\r\nc\r\n0\r\n\r\n")
 
-    async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint(handler).serve() as endpoint, harness(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         writer.write(raw_call())
         await read_head(reader)
@@ -111,17 +111,17 @@
 async def test_an_answer_that_breaks_off_is_visibly_not_whole_and_nothing_is_sent_again(
     tmp_path: Path, way: str, version: bytes
 ) -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(WAYS[way][:200_000])
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(FRAMINGS[way][:200_000])
         await writer.drain()
         reset(writer)
 
-    async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint(handler).serve() as endpoint, harness(tmp_path, endpoint) as it:
         with suppress(ConnectionResetError):
-            got = await all_of(it.address, raw_call().replace(b"HTTP/1.1", b"HTTP/" + version))
+            got = await read_all(it.address, raw_call().replace(b"HTTP/1.1", b"HTTP/" + version))
             head, _, rest = got.partition(b"\r\n\r\n")
             if b"Content-Length" in head:
-                assert len(rest) < len(LONG)
+                assert len(rest) < len(LONG_BODY)
             else:
                 assert b"chunked" in head and not rest.endswith(b"\r\n0\r\n\r\n")
         assert len(endpoint.requests) == 1
@@ -134,14 +134,14 @@
     monkeypatch.setattr(endpoints, "SWEEP_INTERVAL_S", 0.01)
     release = asyncio.Event()
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(WAYS["told"][:300_000])
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(FRAMINGS["told"][:300_000])
         await release.wait()
 
-    async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint(handler).serve() as endpoint, harness(tmp_path, endpoint) as it:
         with suppress(ConnectionResetError):
-            got = await all_of(it.address, raw_call())
-            assert 0 < len(got) < len(LONG)
+            got = await read_all(it.address, raw_call())
+            assert 0 < len(got) < len(LONG_BODY)
         release.set()
         assert len(endpoint.requests) == 1
 
@@ -153,19 +153,19 @@
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.01)
     ended = []
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % PLENTY)
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE_BODY_BYTES)
         try:
-            for _ in range(PLENTY >> 16):
+            for _ in range(LARGE_BODY_BYTES >> 16):
                 writer.write(b"x" * 65536)
                 await writer.drain()
         except ConnectionError:
             ended.append(1)
 
-    async with Endpoint(play).serve() as endpoint, world(tmp_path, endpoint) as it:
-        with socket.create_connection(it.address) as deaf:
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.sendall(raw_call())
+    async with Endpoint(handler).serve() as endpoint, harness(tmp_path, endpoint) as it:
+        with socket.create_connection(it.address) as stalled:
+            stalled.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            stalled.sendall(raw_call())
             await until(lambda: bool(ended))
 
 
@@ -182,13 +182,13 @@
     try:
         yield running.pid, Address.parse(listen)
     finally:
-        with suppress(ProcessLookupError):  # it may have ended, as told
+        with suppress(ProcessLookupError):  # the test may have ended it
             running.kill()
         await running.wait()
 
 
 async def test_a_process_that_ends_first_hands_its_slow_clients_all_of_their_answers(tmp_path: Path) -> None:
-    async with Endpoint(WAYS["told"]).serve() as endpoint, process(tmp_path, endpoint) as (pid, address):
+    async with Endpoint(FRAMINGS["told"]).serve() as endpoint, process(tmp_path, endpoint) as (pid, address):
         with socket.socket() as slow_one:
             slow_one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             slow_one.setblocking(False)
@@ -200,13 +200,13 @@
             while data := await loop.sock_recv(slow_one, 8192):
                 got += data
                 await asyncio.sleep(0.003)
-        assert got.partition(b"\r\n\r\n")[2] == LONG
+        assert got.partition(b"\r\n\r\n")[2] == LONG_BODY
 
 
 async def test_32_mb_each_way_with_slow_peers_take_little_memory(tmp_path: Path) -> None:
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % PLENTY
+    answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE_BODY_BYTES
 
-    class Slow(Reading):
+    class Slow(BodySink):
         async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.connections.append((reader, writer))
             with suppress(OSError, EOFError):
@@ -217,30 +217,30 @@
                     await asyncio.sleep(0.0005)
                 self.bodies.append((size, b""))
                 writer.write(answer)
-                for _ in range(PLENTY >> 16):
+                for _ in range(LARGE_BODY_BYTES >> 16):
                     writer.write(b"y" * 65536)
                     await writer.drain()
 
     async with Slow().serve() as endpoint, process(tmp_path, endpoint) as (pid, address):
-        most = before = resident_bytes(pid)
+        peak = before = resident_bytes(pid)
 
         async def client() -> None:
-            nonlocal most
+            nonlocal peak
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(post(b"", b"Content-Length: %d" % PLENTY))
-            for _ in range(PLENTY >> 16):
+            writer.write(post(b"", b"Content-Length: %d" % LARGE_BODY_BYTES))
+            for _ in range(LARGE_BODY_BYTES >> 16):
                 writer.write(b"x" * 65536)
                 await writer.drain()
             await read_head(reader)
-            left = PLENTY
+            left = LARGE_BODY_BYTES
             while left:
                 data = await reader.read(65536)
                 assert data
                 left -= len(data)
-                most = max(most, resident_bytes(pid))
+                peak = max(peak, resident_bytes(pid))
                 await asyncio.sleep(0.0005)
             writer.close()
 
         await asyncio.gather(*(client() for _ in range(4)))
-        assert endpoint.bodies == [(PLENTY, b"")] * 4
-        assert most - before < 8 << 20, f"{(most - before) >> 10} KiB more"
+        assert endpoint.bodies == [(LARGE_BODY_BYTES, b"")] * 4
+        assert peak - before < 8 << 20, f"{(peak - before) >> 10} KiB more"
--- a/tests/test_long_turns.py
+++ b/tests/test_long_turns.py
@@ -1,4 +1,4 @@
-"""A change that lies unread while the process stands still, or while one turn of its loop takes long."""
+"""Input that stays unread while the process is stopped or while one event loop iteration takes long."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from anisespool.exchange import Call
 from anisespool.front.request_decoding import InvalidRequest, ReceivedRequest, deduct_wait
 from anisespool.http1 import Request
-from tests.drains import scene
+from tests.drain_scenario import scene
 from tests.net import member_list, read_response, until
 from tests.observer import GRACE_S
 from tests.support import MS, SECOND
@@ -24,10 +24,10 @@
     ("unread_ms", "behind_ms", "stalled", "left_ms"),
     [
         (0, 0, True, 600),
-        (0, 400, True, 200),  # behind others that its client sent ahead
+        (0, 400, True, 200),  # queued behind pipelined requests of its client
         (380, 0, True, 220),
         (400, 0, True, None),
-        (400, 0, False, 200),  # unread as too much was sent ahead
+        (400, 0, False, 200),  # unread because of the pipelining limit
     ],
 )
 def test_a_call_is_worth_a_try_unless_a_stop_took_most_of_its_time(
@@ -49,7 +49,7 @@
 async def test_what_lay_unread_for_most_of_its_time_in_a_stop_is_refused_at_once(
     tmp_path: Path, left_ms: int, status: int
 ) -> None:
-    """A process that is far behind answers them all in time, in place of trying each."""
+    """A process that is far behind rejects expired requests at once instead of trying each."""
     async with scene(tmp_path) as it:
         await until(lambda: bool(it.it.discovery.connections))
         assert await it.call("warm") == 200
@@ -57,7 +57,7 @@
         writer.write(it.seen.call("first"))
         assert (await read_response(reader)).status == 200
         writer.write(it.seen.call("late", left_ms=left_ms))
-        time.sleep(0.4)  # the process stands still
+        time.sleep(0.4)  # blocks the event loop
         began_s = time.monotonic()
         assert (await read_response(reader)).status == status
         assert time.monotonic() - began_s < 0.2
@@ -67,7 +67,7 @@
 
 
 async def test_requests_read_after_a_stop_go_by_the_change_that_was_written_meanwhile(tmp_path: Path) -> None:
-    """They wait ahead of the change, longer than the grace, and the loop comes to them first."""
+    """The requests have waited longer than the grace period, and are read before the change."""
     async with scene(tmp_path) as it:
         await until(lambda: bool(it.it.discovery.connections))
         assert await it.call("warm") == 200
@@ -77,7 +77,7 @@
             each.sendall(it.seen.call(f"r{n}"))
         it.revision += 1
         it.seen.tell(it.it.discovery, member_list(it.revision, [it.row(0, "draining")], complete=False))
-        time.sleep(1.5 * GRACE_S)  # the process stands still
+        time.sleep(1.5 * GRACE_S)  # blocks the event loop
         await it.read()
         assert await it.call("after") == 200
         for each in sockets:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -24,11 +24,11 @@
     OK,
     Endpoint,
     exchange,
+    harness,
     member,
     member_list,
     raw_call,
     until,
-    world,
     write_config,
 )
 from tests.test_admin import call
@@ -180,7 +180,7 @@
     async with (
         Endpoint(OK).serve() as one,
         Endpoint(OK).serve() as two,
-        world(tmp_path, one, two, admin=True) as it,
+        harness(tmp_path, one, two, admin=True) as it,
     ):
         await until(lambda: bool(it.discovery.connections))
         assert it.admin
@@ -204,7 +204,7 @@
 async def test_with_all_servers_out_requests_are_refused(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    async with Endpoint(OK).serve() as one, world(tmp_path, one, admin=True) as it:
+    async with Endpoint(OK).serve() as one, harness(tmp_path, one, admin=True) as it:
         assert it.admin
         assert (await call(it.admin, b"DISABLE s-0\n")).startswith(b"SUCCESS")
         assert (await exchange(it.address, raw_call(left_ms=200))).status == 503
--- a/tests/test_newcomers.py
+++ b/tests/test_newcomers.py
@@ -1,4 +1,4 @@
-"""Newcomers where all places are taken: who makes room for them, and what that costs."""
+"""New connections at the connection limit: which client is evicted for them, and at what cost."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from anisespool.front.client_connection import ClientConnection
 from anisespool.sidecar import Sidecar
 from tests.net import Streams, read_response, write_config
-from tests.planned_end import end_now
-from tests.test_crowds import ended
+from tests.planned_end import immediate_shutdown
+from tests.test_crowds import read_to_end
 
 
 @asynccontextmanager
-async def front_with(places: int, folder: Path) -> AsyncIterator[Address]:
+async def server_with(capacity: int, folder: Path) -> AsyncIterator[Address]:
     config = load(write_config(folder, Address("127.0.0.1", 1), []))
     sidecar = Sidecar(config, Endpoints((), 10**9, 10**10, 16))
-    front = server.Server(sidecar, config.names, config.settings, places)
+    front = server.Server(sidecar, config.names, config.settings, capacity)
     yield front.listen(Address("127.0.0.1", 0))
-    await front.stop(end_now())
+    await front.stop(immediate_shutdown())
 
 
 async def ask(client: Streams) -> None:
     client[1].write(b"GET /healthz HTTP/1.1\r\n\r\n")
-    assert (await read_response(client[0])).status == 503  # with no list yet
+    assert (await read_response(client[0])).status == 503  # no server list yet
 
 
-async def newcomer(address: Address) -> Streams:
+async def connect_client(address: Address) -> Streams:
     client = await asyncio.open_connection(*address)
     await ask(client)
     return client
@@ -45,19 +45,20 @@
 async def test_not_all_clients_are_looked_at_for_each_of_a_crowd(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """That takes longer than newcomers take to come: they wait unread, and servers are told too much time."""
-    places, looks, quiet = 100, 0, ClientConnection.idle_score
+    """A scan of all clients per new connection takes longer than the interval between them: requests then
+    wait unread, and servers are told too much remaining time."""
+    capacity, scans, real_idle_score = 100, 0, ClientConnection.idle_score
 
     def counted(self: ClientConnection, now: float) -> float:
-        nonlocal looks
-        looks += 1
-        return quiet(self, now)
+        nonlocal scans
+        scans += 1
+        return real_idle_score(self, now)
 
-    async with front_with(places, tmp_path) as address:
-        before = [await newcomer(address) for _ in range(places)]
+    async with server_with(capacity, tmp_path) as address:
+        before = [await connect_client(address) for _ in range(capacity)]
         monkeypatch.setattr(ClientConnection, "idle_score", counted)
-        after = await asyncio.gather(*(newcomer(address) for _ in range(places)))
-        assert places <= looks < places * places / 4
+        after = await asyncio.gather(*(connect_client(address) for _ in range(capacity)))
+        assert capacity <= scans < capacity * capacity / 4
         for _, writer in (*before, *after):
             writer.close()
 
@@ -66,19 +67,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "EVICTION_ORDER_LIFETIME_S", 60.0)
-    async with front_with(3, tmp_path) as address:
-        first, second, third = [await newcomer(address) for _ in range(3)]
-        # One that was served is passed over until it has been quiet as long as it was in the order.
-        # The clock that tells stands still, or a stall of this process would be that long.
-        still = SimpleNamespace(monotonic=repeat(monotonic()).__next__, monotonic_ns=monotonic_ns)
-        monkeypatch.setattr(server, "time", still)
-        fourth = await newcomer(address)
-        assert await ended(first[0]) == b""
-        await ask(second)  # the next in that order
-        fifth = await newcomer(address)
-        assert await ended(third[0]) == b""
-        sixth = await newcomer(address)  # nobody is left in that order
-        assert await ended(fourth[0]) == b""
+    async with server_with(3, tmp_path) as address:
+        first, second, third = [await connect_client(address) for _ in range(3)]
+        # A client served since then is skipped until idle for as long as it was when the order was made.
+        # The clock is stopped: otherwise a stall of this process could count as that idle time.
+        stopped_clock = SimpleNamespace(monotonic=repeat(monotonic()).__next__, monotonic_ns=monotonic_ns)
+        monkeypatch.setattr(server, "time", stopped_clock)
+        fourth = await connect_client(address)
+        assert await read_to_end(first[0]) == b""
+        await ask(second)  # the next in the eviction order
+        fifth = await connect_client(address)
+        assert await read_to_end(third[0]) == b""
+        sixth = await connect_client(address)  # the eviction order is used up
+        assert await read_to_end(fourth[0]) == b""
         for client in (second, fifth, sixth):
             await ask(client)
             client[1].close()
--- a/tests/test_old_list.py
+++ b/tests/test_old_list.py
@@ -9,12 +9,12 @@
 import pytest
 
 from tests.fleet import fleet
-from tests.net import OK, Discovery, Endpoint, TellingDiscovery, member, member_list, until
+from tests.net import OK, Discovery, Endpoint, StaticDiscovery, member, member_list, until
 
 SERVED = 20
 
 
-class Stalls(TellingDiscovery):
+class Stalls(StaticDiscovery):
     """Its first watch says one list and falls silent; no later call is answered."""
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -30,7 +30,7 @@
     drains, stays = Endpoint(OK), Endpoint(OK)
     async with drains.serve(), stays.serve(), fleet(tmp_path, 3) as it:
         rows = [member("s-0", drains.address), *(member(f"s-{n}", stays.address) for n in range(1, 6))]
-        async with TellingDiscovery(member_list(2, rows)).serve() as works, \
+        async with StaticDiscovery(member_list(2, rows)).serve() as works, \
                    Stalls(member_list(2, rows)).serve() as stalls:  # fmt: skip
             for n, discovery in ((0, stalls), (1, works), (2, works)):
                 await it.start(n, discovery.address, rows)
--- a/tests/test_older_lists.py
+++ b/tests/test_older_lists.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.fleet import Fleet, fleet
-from tests.net import OK, UNTIL_S, Endpoint, TellingDiscovery, member, member_list, until
+from tests.net import OK, WAIT_TIMEOUT_S, Endpoint, StaticDiscovery, member, member_list, until
 from tests.observer import GRACE_S
 from tests.test_stored_list import stored
 
@@ -33,18 +33,18 @@
     def __init__(self, it: Fleet, servers: list[Endpoint], stack: AsyncExitStack) -> None:
         self.it, self.servers, self.stack = it, servers, stack
         self.rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
-        self.told = TellingDiscovery(member_list(4, self.rows))
+        self.told = StaticDiscovery(member_list(4, self.rows))
 
     def out(self, how: str) -> dict[str, Any]:
         if how == "absent":
             return member_list(5, self.rows[1:])
         return member_list(5, [self.rows[0] | {"phase": how}], complete=False)
 
-    async def serve(self, line: dict[str, Any]) -> TellingDiscovery:
+    async def serve(self, line: dict[str, Any]) -> StaticDiscovery:
         """Another address of discovery, which says this to each new watch."""
-        return await self.stack.enter_async_context(TellingDiscovery(line).serve())
+        return await self.stack.enter_async_context(StaticDiscovery(line).serve())
 
-    async def move(self, discovery: TellingDiscovery) -> None:
+    async def move(self, discovery: StaticDiscovery) -> None:
         path = self.it.home(0) / "config.json"
         raw = json.loads(path.read_text()) | {"discovery": "{}:{}".format(*discovery.address)}
         path.with_suffix(".new").write_text(json.dumps(raw))
@@ -52,14 +52,14 @@
         self.it.processes[0].send_signal(signal.SIGHUP)
         await self.taken(discovery)
 
-    async def taken(self, discovery: TellingDiscovery) -> None:
+    async def taken(self, discovery: StaticDiscovery) -> None:
         """Until the list that this address tells is in use, as far as it goes."""
         place = "{}:{}".format(*discovery.address)
         await until(lambda: f"to {discovery.line['revision']}, whole list from {place}" in self.it.log(0))
 
     async def returns(self, n: int) -> None:
         """Some request goes to that server, soon: on a busy machine a slow answer may keep others away."""
-        async with asyncio.timeout(UNTIL_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not self.servers[n].requests:
                 assert await self.it.request(0, "again") == 200
 
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -1,4 +1,4 @@
-"""What poll(2) says of a connection, and where it or epoll_ctl(2) cannot say anything."""
+"""poll(2) results for a connection, and failures of poll(2) and epoll_ctl(2)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from anisespool.front import server
 from anisespool.socket_state import has_events
-from tests.net import Endpoint, exchange, raw_call, until, world
+from tests.net import Endpoint, exchange, harness, raw_call, until
 from tests.syscalls import FailingCall, listens_at, no_traceback, os_error
 from tests.test_endpoints import Driver
 
@@ -36,7 +36,7 @@
     assert has_events(hang_up)
     ours.close()  # POLLNVAL
     assert has_events(hang_up) and has_events(unread)
-    never_connected = socket.socket()  # POLLHUP, as after a connect that only seemed to succeed
+    never_connected = socket.socket()  # POLLHUP, as after a connect that falsely reported success
     assert has_events(polled(never_connected, select.POLLIN))
     never_connected.close()
     refused = socket.socket()  # POLLERR
@@ -49,7 +49,7 @@
 
 
 class NoPoll:
-    """A poll object for which the kernel has no memory."""
+    """A poll object whose poll fails with ENOMEM."""
 
     def poll(self, timeout_ms: int) -> Any:
         raise os_error(errno.ENOMEM)
@@ -63,7 +63,7 @@
         await driver.result()
         (before,) = driver.endpoints.connections
         await until(lambda: asyncio.get_running_loop().time() > before.idle_since + 0.05)
-        monkeypatch.setattr(before, "_input", NoPoll())
+        monkeypatch.setattr(before, "_poll", NoPoll())
         attempt = await driver.result()
         assert attempt.response and len(endpoint.requests) == 2
         assert before not in driver.endpoints.connections
@@ -73,9 +73,9 @@
 async def test_a_listener_that_cannot_be_watched_for_now_is_watched_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], number: int
 ) -> None:
-    """After a pause in which nobody was accepted, as the loop's register fails in its turn."""
+    """After the pause that follows a failed accept, registering with the event loop fails too."""
     monkeypatch.setattr(server, "ACCEPT_RETRY_DELAY_S", 0.02)
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as it:
         loop = asyncio.get_running_loop()
         real, failed = loop.add_reader, [0]
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: what it is told."""
+"""The program as the platform starts it: environment, configuration and inherited descriptors."""
 
 from __future__ import annotations
 
@@ -54,10 +54,10 @@
     env = write_config(tmp_path, NOWHERE, [])
     file = Path(env["LB_CONFIG"])
     raw = json.loads(file.read_text())
-    place = raw
+    node = raw
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = value
+        node = node[key]
+    node[path[-1]] = value
     file.write_text(json.dumps(raw))
     with pytest.raises(
         ConfigError, match=path[-1] if path[-1] != "request-classes" else "deadline-ns|effect"
@@ -102,7 +102,7 @@
             ({}, b"LB_CONFIG", 1),
             (write_config(tmp_path, NOWHERE, [], listen), b"LB_LISTEN", 2),
         ]
-        for env, name, lines in ends:  # an address in use is tried again for a while, which is said once
+        for env, name, lines in ends:  # an address in use is retried for a while, which is logged once
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "anisespool", env=bare | env, stderr=asyncio.subprocess.PIPE
             )
@@ -138,9 +138,9 @@
 async def test_an_inherited_descriptor_that_does_not_listen_ends_the_program_with_one_line(
     tmp_path: Path,
 ) -> None:
-    with socket.socket() as deaf, socket.socket(type=socket.SOCK_DGRAM) as datagrams:
-        deaf.bind(("127.0.0.1", 0))
-        for held in (deaf, datagrams):
+    with socket.socket() as unlistening, socket.socket(type=socket.SOCK_DGRAM) as datagrams:
+        unlistening.bind(("127.0.0.1", 0))
+        for held in (unlistening, datagrams):
             env = write_config(tmp_path, NOWHERE, []) | {"LB_INHERITED_FD": str(held.fileno())}
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "anisespool", env=os.environ | env, stderr=asyncio.subprocess.PIPE,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -22,7 +22,7 @@
 from tests.net import (
     OK,
     Endpoint,
-    TellingDiscovery,
+    StaticDiscovery,
     exchange,
     free_port,
     member,
@@ -104,7 +104,7 @@
 
 async def _kill_loop(folder: Path) -> None:
     rows = [member(f"s-{n}", Address("127.0.0.1", 9)) for n in range(SERVERS)]
-    async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+    async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
         kills = Kills(folder, write_config(folder, discovery.address, rows))
         draw = random.Random(7)
         for _ in range(KILLS):
@@ -127,7 +127,7 @@
         rows = [member("s-0", drains.address), member("s-1", stays.address)]
         drained = member("s-0", drains.address, "draining")
         later = member_list(3, [drained, *(rows[1:] if complete else ())], complete)
-        async with TellingDiscovery(later).serve() as discovery:
+        async with StaticDiscovery(later).serve() as discovery:
             kills = Kills(tmp_path, write_config(tmp_path, discovery.address, rows))  # known: both up
             process, _ = await kills.start()
             await until(lambda: _stored_revision(tmp_path) == 3)
@@ -156,7 +156,7 @@
             assert answer.startswith("SUCCESS"), answer
             promised[server] = out
 
-    async with TellingDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
+    async with StaticDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
         await it.start(0, discovery.address, rows)
         await it.start(1, discovery.address, rows, beside=0)
         ids = [row["id"] for row in rows]
@@ -182,7 +182,7 @@
     """The limit on a file's size stands for a full disk: the store opens, or does not, and cannot grow."""
     async with Endpoint(OK).serve() as server, fleet(tmp_path, 1) as it:
         rows = [member(f"s-{n}", server.address) for n in range(2)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             for limit, opens in ((50_000, True), (3_000, False)):
                 await it.start(0, discovery.address, rows, file_limit=limit)
                 last = ""
@@ -200,7 +200,7 @@
 async def test_service_resumes_within_its_bound(tmp_path: Path, stored: int, answering: bool) -> None:
     async with Endpoint(OK).serve() as server, fleet(tmp_path, 4) as it:
         rows = [member(f"s-{n}", server.address) for n in range(max(stored, 1))]
-        async with TellingDiscovery(member_list(3, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(3, rows)).serve() as discovery:
             for n in (1, 2, 3) if answering else ():
                 await it.start(n, discovery.address, rows)
             ready, served = [], []
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP and the start of a process: early signals, half written files, addresses in use. Real processes."""
+"""SIGHUP and process start with real processes: early signals, partly written files, addresses in use."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @asynccontextmanager
 async def started(env: dict[str, str]) -> AsyncIterator[asyncio.subprocess.Process]:
-    """As the platform starts it."""
+    """Start the program as the platform does."""
     process = await asyncio.create_subprocess_exec(
         "/bin/sh", "-c", run_command(), env=os.environ | env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
     )
@@ -50,7 +50,7 @@
 
 
 def write(env: dict[str, str], discovery: Discovery) -> bytes:
-    """The configuration that names another address; not yet in its file."""
+    """The configuration with another discovery address, not yet written to its file."""
     raw = json.loads(Path(env["LB_CONFIG"]).read_text())
     return json.dumps(raw | {"discovery": "{}:{}".format(*discovery.address)}).encode()
 
@@ -89,7 +89,7 @@
 async def test_a_file_that_is_being_replaced_as_the_process_starts_is_read_once_it_is_whole(
     tmp_path: Path, half: bool
 ) -> None:
-    """Half written, or not there for a moment."""
+    """The file is partly written, or briefly absent."""
     async with Discovery().serve() as discovery:
         env = write_config(tmp_path, discovery.address, [SERVER])
         place = Path(env["LB_CONFIG"])
@@ -98,7 +98,7 @@
         if not half:
             place.unlink()
         async with started(env) as process:
-            await asyncio.sleep(0.4)  # it has come to the file by then
+            await asyncio.sleep(0.4)  # it has tried to read the file by then
             place.write_bytes(whole)
             await until(lambda: bool(discovery.targets))
             assert process.returncode is None
@@ -108,7 +108,7 @@
 async def test_an_address_that_is_in_use_for_a_moment_is_asked_for_again(
     tmp_path: Path, signalled: bool
 ) -> None:
-    """As the process before this one still ends. A planned end meanwhile is followed."""
+    """The previous process is still shutting down. SIGTERM is obeyed meanwhile."""
     listen = f"127.0.0.1:{free_port()}"
     env = write_config(tmp_path, NOWHERE, [SERVER], listen)
     with socket.socket() as taken:
@@ -146,8 +146,8 @@
         nonlocal runs
         runs += 1
         if runs < 3:
-            raise RuntimeError("odd")
+            raise RuntimeError("scripted")
 
     await supervise("the watch", work)
     assert runs == 3
-    assert capfd.readouterr().err.count("the watch failed and starts again: RuntimeError: odd\n") == 2
+    assert capfd.readouterr().err.count("the watch failed and starts again: RuntimeError: scripted\n") == 2
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -1,4 +1,4 @@
-"""What stays in reserve when all fails at once: descriptors, and the time to READY."""
+"""Reserves when everything fails at once: descriptors, and the time to READY."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
     until,
     write_config,
 )
-from tests.planned_end import end_now
-from tests.test_driver import driven, send_once
+from tests.planned_end import immediate_shutdown
+from tests.test_driver import scripted, send_once
 from tests.test_program import start
 
 DESCRIPTORS, CROWD = 160, 220
-READY_S = 10.0  # nine in ten restarted processes
+READY_S = 10.0  # for 9 of 10 restarted processes
 
 
-async def rest(address: Address) -> Streams:
-    """A client that has been served once and rests."""
+async def idle_client(address: Address) -> Streams:
+    """Connect a client that has been served once and is then idle."""
     streams = await asyncio.open_connection(*address)
     streams[1].write(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert (await read_response(streams[0])).status == 200
@@ -49,29 +49,32 @@
 async def test_idle_clients_fill_the_descriptors_and_discovery_servers_and_requests_have_theirs(
     tmp_path: Path,
 ) -> None:
-    """With no descriptor left discovery is never heard again, and nothing new is dialled."""
+    """With no descriptor left, discovery could not reconnect and no new server could be connected to."""
     discovery = Discovery()
     listen, place = (Address("127.0.0.1", free_port()) for _ in range(2))
     async with Endpoint().serve() as old, Endpoint().serve() as new:
         env = write_config(tmp_path, place, [member("s-0", old.address)], "{}:{}".format(*listen))
         process = await start(env, descriptors=DESCRIPTORS)
-        data, crowd = raw_call("once", "slow", body=b"abc"), [await rest(listen) for _ in range(CROWD // 2)]
+        data, crowd = (
+            raw_call("once", "slow", body=b"abc"),
+            [await idle_client(listen) for _ in range(CROWD // 2)],
+        )
         _, reading = slow = await asyncio.open_connection(*listen)
-        for _ in range(CROWD // 2):  # more than have a place, and a request is being read all the while
+        for _ in range(CROWD // 2):  # over the connection limit, while one request is being received
             reading.write(data[:1])
             data = data[1:]
-            crowd.append(await rest(listen))
+            crowd.append(await idle_client(listen))
         assert len(os.listdir(f"/proc/{process.pid}/fd")) <= DESCRIPTORS
         reading.write(data)
         assert (await read_response(slow[0])).status == 200
         kept = [not reader.at_eof() for reader, _ in crowd]
-        assert not kept[0] and kept[-1]  # those that have rested longest have gone
+        assert not kept[0] and kept[-1]  # those idle for longest were closed
         server = await asyncio.start_server(discovery._connected, *place)
         async with asyncio.timeout(UPDATE_DEADLINE_S):
             await until(lambda: bool(discovery.connections))
         discovery.say(member_list(9, [member("s-1", new.address)]))
         async with asyncio.timeout(2.0):
-            while not new.requests:  # dialled anew, whatever the crowd holds
+            while not new.requests:  # a new connection, whatever the idle clients hold
                 assert (await exchange(listen, raw_call())).status == 200
         for _, writer in [*crowd, slow]:
             writer.close()
@@ -81,8 +84,8 @@
 
 
 async def test_a_request_that_is_being_read_keeps_its_place_before_all_that_are_idle(tmp_path: Path) -> None:
-    """Its last byte is older than the rest of any of those: idle ones go first all the same."""
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
+    """Idle connections are evicted first, though the request's last byte is older than their last use."""
+    async with Endpoint().serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         listener = Server(it.sidecar, config.names, config.settings, 4)
         address = listener.listen(Address("127.0.0.1", 0))
@@ -92,16 +95,16 @@
         await until(lambda: any(c.stage == "half-written" for c in listener.connections))
         began = monotonic()
         await until(lambda: monotonic() > began + RECEIVE_IDLE_TIMEOUT_S / 2)
-        crowd = [await rest(address) for _ in range(8)]  # 3 have a place
+        crowd = [await idle_client(address) for _ in range(8)]  # 3 fit under the limit
         writer.write(data[-1:])
         assert (await read_response(reader)).status == 200
         for _, each in [*crowd, (reader, writer)]:
             each.close()
-        await listener.stop(end_now())
+        await listener.stop(immediate_shutdown())
 
 
-class Mute(Peer):
-    """Discovery that takes calls and says nothing, or no more than a head."""
+class SilentDiscovery(Peer):
+    """A discovery server that answers with a fixed text: nothing, a head only, or an error."""
 
     def __init__(self, says: bytes) -> None:
         super().__init__()
@@ -113,16 +116,18 @@
         writer.write(self._says)
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
 @pytest.mark.timeout(60)
-@pytest.mark.parametrize("says", [None, b"", HEAD, BUSY], ids=["down", "silent", "half open", "crowded"])
+@pytest.mark.parametrize(
+    "says", [None, b"", RESPONSE_HEAD, BUSY], ids=["down", "silent", "half open", "crowded"]
+)
 async def test_processes_restarted_all_at_once_are_ready_in_time_whatever_they_meet(
     tmp_path: Path, says: bytes | None
 ) -> None:
-    """Peers are silent, and every store is damaged."""
+    """Peers don't answer, and every store is damaged."""
     count = 10
     relay = Relay(count)
     relay.cut = lambda x, y: True
@@ -131,7 +136,7 @@
     async with AsyncExitStack() as stack:
         stack.callback(relay.close)
         server = await stack.enter_async_context(Endpoint().serve())
-        discovery = await stack.enter_async_context(Mute(says or b"").serve())
+        discovery = await stack.enter_async_context(SilentDiscovery(says or b"").serve())
         address = Address("127.0.0.1", free_port()) if says is None else discovery.address
         for n in range(count):
             it.home(n).mkdir()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole sidecar on sockets: one final answer for every request, whatever the peers do."""
+"""The complete sidecar on sockets: one final answer per request, whatever the other sides do."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     SLACK_S,
     Endpoint,
     exchange,
+    harness,
     member,
     member_list,
     raw_call,
     read_response,
     reset,
     until,
-    world,
 )
 from tests.test_endpoints import answer, hang_up, say_nothing
 
@@ -31,17 +31,17 @@
 
 
 def slow(seconds: float) -> Callable[..., Any]:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(seconds)
         writer.write(OK)
 
-    return play
+    return respond
 
 
 async def test_a_served_body_passes_unchanged(tmp_path: Path) -> None:
     body = bytes(range(256)) * 256
     reply = b"HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    async with Endpoint(reply).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(reply).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         response = await exchange(sidecar.address, raw_call("once", body=b"x" * 65536))
         assert (response.status, response.body) == (200, body)
         assert endpoint.requests[0].body == b"x" * 65536
@@ -51,8 +51,8 @@
 @pytest.mark.parametrize(
     ("cls", "reply", "attempts", "status"),
     [
-        ("once", NEVER_RAN, 3, 503),  # known not to have run: others are tried, then a retry is harmless
-        ("once", answer("500 Oops"), 1, 502),  # may have run: nothing more is sent, nothing promised
+        ("once", NEVER_RAN, 3, 503),  # known not to have run: others are tried, then a client retry is safe
+        ("once", answer("500 Oops"), 1, 502),  # may have run: no retry, and no 503
         ("once", answer("503 Busy"), 1, 502),
         ("once", hang_up, 1, 502),
         ("look", answer("500 Oops"), 3, 503),
@@ -63,13 +63,13 @@
     tmp_path: Path, cls: str, reply: Any, attempts: int, status: int
 ) -> None:
     first, second = Endpoint(reply), Endpoint(reply)
-    async with first.serve(), second.serve(), world(tmp_path, first, second) as sidecar:
+    async with first.serve(), second.serve(), harness(tmp_path, first, second) as sidecar:
         assert (await exchange(sidecar.address, raw_call(cls))).status == status
         assert len(first.requests) + len(second.requests) == attempts
 
 
 async def test_an_unsafe_request_that_gets_no_answer_fails_in_time(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(say_nothing).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         began = monotonic()
         response = await exchange(sidecar.address, raw_call("once", left_ms=150))
         assert response.status == 502
@@ -78,13 +78,13 @@
 
 
 async def test_no_time_left_is_answered_at_once(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         assert (await exchange(sidecar.address, raw_call("once", left_ms=0))).status == 503
         assert not endpoint.requests
 
 
 async def test_a_client_that_goes_away_ends_its_attempt(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(say_nothing).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         for leave in (lambda w: w.close(), reset):
             before = len(endpoint.requests)
             _, writer = await asyncio.open_connection(*sidecar.address)
@@ -93,11 +93,11 @@
             left = monotonic()
             leave(writer)
             await until(lambda n=before: endpoint.ended == n + 1)  # type: ignore[misc]
-            assert monotonic() - left < 0.4  # well before the attempt's own time is up
+            assert monotonic() - left < 0.4  # well before the attempt's own timeout
 
 
 async def test_requests_arrive_in_pieces_and_in_bunches(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
         for byte in raw_call("once", body=b"abc"):
             writer.write(bytes((byte,)))
@@ -115,7 +115,7 @@
 
 
 async def test_a_half_written_request_is_not_taken(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         _, writer = await asyncio.open_connection(*sidecar.address)
         writer.write(raw_call("once", body=b"abc")[:-1])
         writer.close()
@@ -149,7 +149,7 @@
 async def test_what_is_no_request_is_answered_and_nothing_is_sent(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], data: bytes, status: int
 ) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         assert (await exchange(sidecar.address, data)).status == status
         assert (await exchange(sidecar.address, raw_call())).status == 200
         assert len(endpoint.requests) == 1
@@ -158,7 +158,7 @@
 
 async def test_healthz_tells_whether_requests_can_be_served(tmp_path: Path) -> None:
     health = b"GET /healthz HTTP/1.1\r\n\r\n"
-    async with Endpoint().serve() as endpoint, world(tmp_path) as sidecar:
+    async with Endpoint().serve() as endpoint, harness(tmp_path) as sidecar:
         assert (await exchange(sidecar.address, health)).status == 503
         await until(lambda: bool(sidecar.discovery.connections))
         sidecar.discovery.say(member_list(2, [member("s-1", endpoint.address)]))
@@ -169,7 +169,7 @@
 
 async def test_a_drain_moves_what_comes_next_and_leaves_what_is_there(tmp_path: Path) -> None:
     old, new = Endpoint(slow(0.2)), Endpoint()
-    async with old.serve(), new.serve(), world(tmp_path, old) as sidecar:
+    async with old.serve(), new.serve(), harness(tmp_path, old) as sidecar:
         await until(lambda: bool(sidecar.discovery.connections))
         running = asyncio.create_task(exchange(sidecar.address, raw_call("once")))
         await until(lambda: len(old.requests) == 1)
@@ -185,7 +185,7 @@
 
 
 async def test_a_request_sent_ahead_has_no_more_time_than_it_was_given(tmp_path: Path) -> None:
-    async with Endpoint(slow(0.15)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(slow(0.15)).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
         began = monotonic()
         writer.write(raw_call("once", "t1") + raw_call("once", "t2", left_ms=250))
@@ -201,28 +201,28 @@
 async def test_garbage_from_every_peer_loses_nothing(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], seed: int
 ) -> None:
-    """Bytes of no meaning, and requests, answers and lists with bytes changed; then all is as before."""
+    """Random bytes, and requests, answers and lists with changed bytes; then the sidecar still works."""
     draw = random.Random(seed)
 
-    def spoilt(data: bytes) -> bytes:
-        spoiled = bytearray(data)
+    def corrupted(data: bytes) -> bytes:
+        changed = bytearray(data)
         for _ in range(draw.randrange(1, 5)):
-            spoiled[draw.randrange(len(spoiled))] = draw.randrange(256)
-        return bytes(spoiled) if draw.random() < 0.8 else draw.randbytes(200)
+            changed[draw.randrange(len(changed))] = draw.randrange(256)
+        return bytes(changed) if draw.random() < 0.8 else draw.randbytes(200)
 
-    async def spoil(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(spoilt(OK))
+    async def send_corrupted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(corrupted(OK))
         writer.close()
 
-    async with Endpoint(spoil).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(send_corrupted).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         await until(lambda: bool(sidecar.discovery.connections))
         for n in range(20):
             update = member_list(n, [member("s-x", endpoint.address)], complete=False)
-            sidecar.discovery.say(spoilt(json.dumps(update).encode()).replace(b"\n", b" "))
+            sidecar.discovery.say(corrupted(json.dumps(update).encode()).replace(b"\n", b" "))
             status = (await exchange(sidecar.address, raw_call("once", left_ms=300))).status
             assert status in (200, 502, 503)
             _, writer = await asyncio.open_connection(*sidecar.address)
-            writer.write(spoilt(raw_call("once", "t2", body=b"abc")))
+            writer.write(corrupted(raw_call("once", "t2", body=b"abc")))
             writer.close()
         endpoint.answer = OK
         good = member_list(99, [member("s-new", endpoint.address)])
@@ -233,7 +233,7 @@
 
 
 async def test_a_client_that_goes_on_sending_can_still_read_why_it_was_cut_off(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint().serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
         writer.write(raw_call("once").replace(b"Content-Length: 0", b"Content-Length: 60000000"))
         for _ in range(50):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -16,7 +16,7 @@
 from anisespool.state.store import Order, Record, Store, now_ms, store_path
 from anisespool.upgrade_locks import UpgradeLocks
 from shuntlead.interface import Status
-from tests.net import UNTIL_S, until
+from tests.net import WAIT_TIMEOUT_S, until
 
 
 def _filled(folder: Path) -> Path:
@@ -129,7 +129,7 @@
 
     def held(connection: sqlite3.Connection, name: str, records: list[Record]) -> None:
         begun.set()
-        assert go_on.wait(UNTIL_S)
+        assert go_on.wait(WAIT_TIMEOUT_S)
         put(connection, name, records)
         done.append("written")
 
@@ -142,7 +142,7 @@
     assert store
     store._reader.close()  # that of the loop's own thread
     writing = asyncio.create_task(store.put([Record("learned", "s-0", now_ms(), now_ms() + 60_000, "it")]))
-    assert await asyncio.to_thread(begun.wait, UNTIL_S)
+    assert await asyncio.to_thread(begun.wait, WAIT_TIMEOUT_S)
     writing.cancel()
     await asyncio.wait([writing])
     monkeypatch.setattr(store, "_reader", store._writer)  # may be closed in any thread
--- a/tests/test_stored_list.py
+++ b/tests/test_stored_list.py
@@ -20,7 +20,7 @@
 from anisespool.state.list_snapshot import ListSnapshot, digest
 from anisespool.state.store import ListHead, Store, now_ms, store_path
 from tests.fleet import fleet
-from tests.net import OK, Endpoint, TellingDiscovery, member, member_list, until
+from tests.net import OK, Endpoint, StaticDiscovery, member, member_list, until
 
 KILLS = int(os.environ.get("SAILBRIDGE_KILLS", "4"))  # 200 by hand; each takes a start, some 0.4 s
 NOWHERE = Address("127.0.0.1", 9)
@@ -85,7 +85,7 @@
     async with drains.serve(), stays.serve(), fleet(tmp_path, 1) as it:
         rows = [member(f"s-{n}", drains.address, "draining") for n in range(OVER - 2)]
         rows += [member(f"s-{OVER - 2}", drains.address), member(f"s-{OVER - 1}", stays.address)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows[-2:-1])
             await until(lambda: stored(it.home(0))[0] == 2)
             discovery.say(member_list(3, [rows[-2] | {"phase": "draining"}], False))
@@ -101,7 +101,7 @@
 async def test_a_kill_at_any_moment_leaves_the_whole_list_of_one_revision(tmp_path: Path) -> None:
     told, draw, seen = Told(60, seed=11), random.Random(11), set[int]()
     loop = asyncio.get_running_loop()
-    async with TellingDiscovery(told.whole()).serve() as discovery, fleet(tmp_path, 1) as it:
+    async with StaticDiscovery(told.whole()).serve() as discovery, fleet(tmp_path, 1) as it:
 
         async def changing() -> None:
             while True:
@@ -129,8 +129,8 @@
     """The second is told each revision three late. First they write in turn, then both at once."""
     told = Told(60, seed=5)
     async with (
-        TellingDiscovery(told.whole()).serve() as early,
-        TellingDiscovery(told.whole()).serve() as late,
+        StaticDiscovery(told.whole()).serve() as early,
+        StaticDiscovery(told.whole()).serve() as late,
         fleet(tmp_path, 1) as it,
     ):
         known = list(told.at[2].values())
@@ -151,7 +151,7 @@
 async def test_after_a_write_that_failed_on_a_full_disk_the_next_is_whole(tmp_path: Path) -> None:
     rows = [member(f"s-{n}", NOWHERE) for n in range(60)]
     drained = [row | {"phase": "draining"} for row in rows]
-    async with TellingDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
+    async with StaticDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
         await it.start(0, discovery.address, rows)
         await until(lambda: stored(it.home(0))[0] == 2)
         full = Path(f"{store_path(it.home(0), 'n0')}-wal").stat().st_size  # no commit can add to it
@@ -181,7 +181,7 @@
             assert await it.request(0, f"r{n}") == 200
         assert not drains.requests
         await it.kill(0)
-        async with TellingDiscovery(member_list(4, rows[1:], False)).serve() as discovery:
+        async with StaticDiscovery(member_list(4, rows[1:], False)).serve() as discovery:
             await it.start(0, discovery.address, rows)
             await until(lambda: stored(it.home(0)) == (4, {row["id"]: row for row in later["members"]}))
         with closing(sqlite3.connect(store_path(it.home(0), "n0"))) as connection:
--- a/tests/test_taken.py
+++ b/tests/test_taken.py
@@ -1,4 +1,4 @@
-"""A request whose last byte has come is answered, whoever wants its connection's place."""
+"""A fully received request is answered even if its connection is to be evicted at that moment."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from anisespool.front import timeouts
 from anisespool.front.server import Server
 from tests.net import Endpoint, raw_call, until, write_config
-from tests.planned_end import end_now
-from tests.test_driver import driven, send_once
+from tests.planned_end import immediate_shutdown
+from tests.test_driver import scripted, send_once
 
 
 @pytest.mark.parametrize("closes", ["room", "limit", "sweep"])
@@ -22,9 +22,9 @@
 async def test_a_request_whose_rest_has_just_come_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, closes: str, size: int
 ) -> None:
-    """The rest is in the kernel, and the loop has not read it yet, as the connection is to make room."""
+    """The rest of the request is in the kernel buffer, unread by the event loop, when the eviction comes."""
     monkeypatch.setattr(timeouts, "RECEIVE_IDLE_TIMEOUT_S", 0.0)
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
+    async with Endpoint().serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         listener = Server(it.sidecar, config.names, config.settings, 8)
         address = listener.listen(Address("127.0.0.1", 0))
@@ -34,7 +34,7 @@
             await until(lambda: any(c.stage == "half-written" for c in listener.connections))
             await until(lambda: not any(c.has_unread() for c in listener.connections))
             [connection] = listener.connections
-            client.sendall(request[-2:])  # and in the same turn of the loop:
+            client.sendall(request[-2:])  # and in the same event loop iteration:
             if closes == "room":
                 listener.make_room()
             elif closes == "limit":
@@ -44,4 +44,4 @@
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 65536)
             assert answer.startswith(b"HTTP/1.1 ")
-        await listener.stop(end_now())
+        await listener.stop(immediate_shutdown())
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -1,4 +1,4 @@
-"""Requests that wait unread in the kernel, as their client sent too much ahead."""
+"""Requests that wait unread in the kernel because their client exceeded the pipelining limit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from anisespool.exchange import Answer, Call
 from anisespool.front.http_connection import MAX_PIPELINED_REQUESTS
 from anisespool.sidecar import Sidecar
-from tests.net import Endpoint, held_until, raw_call, until, world
+from tests.net import Endpoint, harness, held_until, raw_call, until
 
 
 async def test_the_time_that_a_request_waited_unread_is_not_told_to_its_server(
@@ -27,16 +27,16 @@
 
     monkeypatch.setattr(Sidecar, "submit", seen)
     release = asyncio.Event()
-    async with Endpoint(held_until(release)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(held_until(release)).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         _, writer = await asyncio.open_connection(*sidecar.address)
         for n in range(MAX_PIPELINED_REQUESTS + 2):
             writer.write(raw_call("once", f"ahead{n}", left_ms=600, body=b"abc"))
-        await until(lambda: len(endpoint.requests) == 1)  # the others are read ahead, and no more is read
+        await until(lambda: len(endpoint.requests) == 1)  # the others are read and queued; reading is paused
         writer.write(raw_call("once", "unread", left_ms=600, body=b"abc"))
         sent = monotonic()
         await until(lambda: monotonic() > sent + 0.4)
         release.set()
         await until(lambda: b"unread" in left_ms)
-        assert left_ms[b"ahead1"] < 400  # for comparison: this one waited read
+        assert left_ms[b"ahead1"] < 400  # for comparison: this one was read and waited in the queue
         assert left_ms[b"unread"] < 400
         writer.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes on one listening socket: a new version under load."""
+"""Upgrade under load: two processes share one listening socket."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.net import (
     OK,
     Endpoint,
-    TellingDiscovery,
+    StaticDiscovery,
     exchange,
     free_port,
     held_until,
@@ -33,18 +33,18 @@
 from tests.support import SECOND, raw_settings
 from tests.test_admin import call, until_ready
 
-TURNS = 3  # upgrades in turn
+UPGRADES = 3  # in succession
 
 
 class Upgrade:
-    """Processes on one listening socket that the platform, here the test, holds."""
+    """Processes on one listening socket that is held by the platform, here the test."""
 
     def __init__(self, folder: Path, held: socket.socket, env: dict[str, str]) -> None:
         self.folder, self.held, self.env = folder, held, env
         self.address = Address(*held.getsockname())
 
     async def start(self) -> tuple[asyncio.subprocess.Process, Address]:
-        """A process that has said READY, and its address for operators."""
+        """Start a process and wait until it is READY; return it and its admin address."""
         admin = Address("127.0.0.1", free_port())
         env = self.env | {"LB_ADMIN_ADDR": "{}:{}".format(*admin), "TMPDIR": str(self.folder)}
         env["LB_INHERITED_FD"] = str(self.held.fileno())
@@ -59,7 +59,7 @@
 @asynccontextmanager
 async def upgrade(folder: Path, *endpoints: Endpoint, **changes: Any) -> AsyncIterator[Upgrade]:
     rows = [member(f"s-{n}", endpoint.address) for n, endpoint in enumerate(endpoints)]
-    async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+    async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
         with socket.socket() as held:
             held.bind(("127.0.0.1", 0))
             held.listen(64)
@@ -78,7 +78,7 @@
                 if writer is None or reader is None:
                     reader, writer = await asyncio.open_connection(*it.address)
                 writer.write(raw_call("once", f"k{count[0]}"))
-                response = await read_response(reader)  # a close under a request would raise
+                response = await read_response(reader)  # a close during a request would raise
                 assert response.status == 200
                 count[0] += 1
                 if response.headers.get(b"connection") == b"close":
@@ -126,12 +126,12 @@
         asking.write(raw_call("once", left_ms=8000))
         await until(lambda: len(endpoint.requests) == 1)
         old.send_signal(signal.SIGTERM)
-        assert await idle.read() == b""  # in the end, as nothing came on it
+        assert await idle.read() == b""  # closed eventually, as no request came on it
         release.set()
         response = await read_response(busy)
         assert (response.status, response.headers[b"connection"]) == (200, b"close")
         assert await old.wait() == 0
-        with socket.create_connection(it.address):  # the queue stays, for whoever comes next
+        with socket.create_connection(it.address):  # the listen queue remains for the next process
             pass
 
 
@@ -147,7 +147,7 @@
         assert (await call(new_admin, b"ENABLE s-0\n")).startswith(b"SUCCESS")
         assert (await call(new_admin, b"DISABLE s-1\n")).startswith(b"SUCCESS")
         seen = len(two.requests)
-        for _ in range(20):  # some of them at the old process; the only server is cold, so not all are served
+        for _ in range(20):  # some reach the old process; the only server is cold, so not all are served
             assert (await exchange(it.address, raw_call())).status in (200, 503)
         assert one.requests and len(two.requests) == seen
         for process in (old, new):
@@ -156,7 +156,7 @@
 
 
 async def first_answer(admin: Address, line: bytes) -> str:
-    """From the first moment at which the process listens for operators."""
+    """Retry until the admin listener accepts, and return its first answer."""
     while True:
         with suppress(ConnectionRefusedError):
             return (await call(admin, line)).decode()
@@ -167,11 +167,11 @@
 async def test_an_order_is_known_to_both_processes_by_its_yes_also_while_the_second_starts(
     tmp_path: Path, inherited: bool
 ) -> None:
-    """The first process takes orders one after another while a second starts, and the second takes one at its
-    first moment; then it is killed and a third starts at once."""
+    """The first process gets orders in sequence while a second starts; the second gets one as soon as it
+    listens. Then the second is killed and a third starts at once."""
     with socket.create_server(("127.0.0.1", 0)) as held:
         rows = [member(f"s-{n}", Address("127.0.0.1", 9)) for n in range(100)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery, fleet(tmp_path, 1) as it:
             kept = held if inherited else None
             await it.start(0, discovery.address, rows, inherited=kept)
             servers = iter(row["id"] for row in rows)
@@ -184,11 +184,11 @@
                     known = await first_answer(it.admin[other], b"STATE\n")
                     assert (server in known.split()) == out, (process, word, server, known)
 
-            for turn in range(TURNS):
+            for turn in range(UPGRADES):
                 start = it.start(9, discovery.address, rows, beside=0, inherited=kept)
                 starting = asyncio.create_task(start)
                 await until(lambda: 9 in it.processes)
-                await asyncio.sleep(turn * 0.1 / TURNS)  # so that the orders fall at other moments
+                await asyncio.sleep(turn * 0.1 / UPGRADES)  # varies when the orders arrive
                 first_moment = asyncio.create_task(order(9, 0))
                 while not starting.done():
                     await order(0, 9)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -18,7 +18,7 @@
 from tests.net import (
     OK,
     Endpoint,
-    TellingDiscovery,
+    StaticDiscovery,
     exchange,
     held_until,
     member,
@@ -71,7 +71,7 @@
     one, two = Endpoint(OK), Endpoint(OK)
     async with one.serve(), two.serve(), stepped(tmp_path) as (it, clock):
         rows = [member("s-0", one.address), member("s-1", two.address)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
             assert (await it.ask(0, "DISABLE s-0")).startswith("SUCCESS")
             assert (await it.ask(0, "ENABLE s-0")).startswith("SUCCESS")
@@ -97,7 +97,7 @@
     async with drains.serve(), stays.serve(), stepped(tmp_path) as (it, clock):
         rows = [member("s-0", drains.address), member("s-1", stays.address)]
         later = member_list(3, [rows[0] | {"phase": "draining"}, rows[1]])
-        async with TellingDiscovery(later).serve() as discovery:
+        async with StaticDiscovery(later).serve() as discovery:
             await it.start(0, discovery.address, rows)
             await until(lambda: stored(it.home(0), "SELECT revision FROM list_heads") == 3)
             await it.kill(0)
@@ -118,7 +118,7 @@
         rows = [member("s-0", near.address), member("s-1", far.address, locality="west")]
         data = raw_call("keyed", left_ms=2000, headers="Idempotency-Key: it\r\n")
         draining = [rows[0] | {"phase": "draining"}, rows[1]]
-        async with TellingDiscovery(member_list(2, draining)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, draining)).serve() as discovery:
             await it.start(0, discovery.address, draining, **changes)
             first = asyncio.create_task(exchange(it.listen[0], data))
             await until(lambda: stored(it.home(0), "SELECT count(*) FROM records WHERE kind = 'pin'") == 1)
@@ -139,7 +139,7 @@
     silent = Endpoint(held_until(asyncio.Event()))
     async with silent.serve(), stepped(tmp_path) as (it, clock):
         rows = [member("s-0", silent.address)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
             began = monotonic()
             waiting = asyncio.create_task(it.request(0, "r0", left_ms=500))
@@ -155,7 +155,7 @@
     one, two = Endpoint(OK), Endpoint(OK)
     async with one.serve(), two.serve(), stepped(tmp_path) as (it, clock):
         rows = [member("s-0", one.address), member("s-1", two.address)]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
             for order in ("DISABLE s-0", "ENABLE s-0"):
                 assert (await it.ask(0, order)).startswith("SUCCESS")
--- a/tests/test_warm.py
+++ b/tests/test_warm.py
@@ -23,7 +23,7 @@
 from shuntlead.interface import Ejection, Status
 from shuntlead.outliers import MAX_EJECTION_NS
 from tests.fleet import Fleet, fleet
-from tests.net import OK, UNTIL_S, Endpoint, TellingDiscovery, member, member_list, reset, until
+from tests.net import OK, WAIT_TIMEOUT_S, Endpoint, StaticDiscovery, member, member_list, reset, until
 from tests.support import SECOND, raw_settings
 
 NOWHERE = Address("127.0.0.1", 9)
@@ -69,7 +69,7 @@
         rows = [member("s-0", drains.address), member("s-1", gone.address), member("s-2", stays.address),
                 *(member(f"s-{n}", stays.address) for n in range(3, 6))]  # fmt: skip
         later = member_list(3, [member("s-0", drains.address, "draining"), *rows[2:]])
-        async with TellingDiscovery(later).serve() as discovery:
+        async with StaticDiscovery(later).serve() as discovery:
             for n in (1, 2, 3):
                 await it.start(n, discovery.address, rows)
             await until(lambda: all(stored_revision(it.home(n), n) == 3 for n in (1, 2, 3)))
@@ -159,10 +159,10 @@
     bad, good = Endpoint(breaks), Endpoint(slowly)
     async with bad.serve(), good.serve(), fleet(tmp_path, 3) as it:
         rows = [member("s-0", bad.address), *(member(f"s-{n}", good.address) for n in range(1, 5))]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             for n in (0, 1):  # one after the other, or what one has seen spares the other the failures
                 await it.start(n, discovery.address, rows, **changes)
-                async with asyncio.timeout(UNTIL_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     while "ejected: endpoint 1" not in it.log(n):
                         await asyncio.gather(*(it.request(n, f"e{n}-{m}") for m in range(20)))
                 await until(lambda n=n: stored(it.home(n), n, VERDICT) == 1)  # type: ignore[misc]
@@ -192,7 +192,7 @@
     east, west = Endpoint(OK), Endpoint(OK)
     async with east.serve(), west.serve(), fleet(tmp_path, 1) as it:
         rows = [member("s-0", east.address), member("s-1", west.address, locality="west")]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows, request_classes=LONG_WINDOW)
             for n in range(3):
                 await it.start(9, discovery.address, rows, beside=0, request_classes=LONG_WINDOW)
@@ -230,7 +230,7 @@
 
     async with east.serve(), west.serve(), fleet(tmp_path, 1) as it:
         rows = [member("s-0", east.address), member("s-1", west.address, locality="west")]
-        async with TellingDiscovery(member_list(2, rows)).serve() as discovery:
+        async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             asking = []
             await it.start(0, discovery.address, rows, request_classes=LONG_WINDOW)
             if upgrade:
