--- a/tests/observer.py
+++ b/tests/observer.py
@@ -1,6 +1,6 @@
-"""An outside observer of the rules on drains, clients that leave and deadlines.
+"""Checks from outside the sidecar that it obeys drains, client disconnects and deadlines.
 
-It judges by what discovery's stand-in wrote, what server stand-ins received and what clients did, all with
+The observer records what the test discovery sent, what the test servers received and what clients did, with
 monotonic times in seconds. It shares no code with the sidecar's decisions.
 """
 
@@ -17,43 +17,43 @@
 from tests.net import OK, Discovery, Peer, raw_call
 
 GRACE_S = 0.2  # tests/support.py: guarantees.drain-grace-ns
-GONE_S = 0.1  # no attempt begins later than this after its client has closed
-DEADLINE_SLACK_S = 0.15  # a server may be told so much more than its client has left
+CANCEL_LIMIT_S = 0.1  # an attempt may begin this long after its client has closed, no later
+DEADLINE_SLACK_S = 0.15  # how far X-Expires-In-Ms may exceed the client's remaining time
 TRACE, EXPIRES = b"x-trace-id", b"x-expires-in-ms"
 
 
 @dataclass
 class Receipt:
-    """A request as a server stand-in received it."""
+    """A request as a test server received it."""
 
     server: str
     address: str
     first_byte_s: float
-    trace: str = ""  # empty until the head is whole
-    told_ms: int = 0
+    trace: str = ""  # empty until the head is complete
+    expires_in_ms: int = 0
 
 
 @dataclass
-class Sent:
-    """A request as its client wrote it."""
+class ClientRequest:
+    """A request as its client sent it."""
 
-    at_s: float
+    sent_s: float
     left_ms: int
     closed_s: float | None = None
 
 
 @dataclass
 class Observer:
-    """The list as told over time, and every request at either end."""
+    """The history of the list, and every request as its client and its server saw it."""
 
     members: dict[str, tuple[str, str]] = field(default_factory=dict)  # id -> address, phase
     receipts: list[Receipt] = field(default_factory=list)
-    clients: dict[str, Sent] = field(default_factory=dict)
+    clients: dict[str, ClientRequest] = field(default_factory=dict)
     _history: dict[str, list[tuple[float, bool]]] = field(default_factory=dict)  # address -> since, is up
-    last_told_s: float = 0.0
+    last_update_s: float = 0.0
 
-    def listed(self, line: dict[str, Any]) -> None:
-        """This object has been written to the sidecar (or its configuration)."""
+    def record_list(self, line: dict[str, Any]) -> None:
+        """Record a list or change that was sent to the sidecar, or put into its configuration."""
         now = monotonic()
         if line["complete"]:
             self.members.clear()
@@ -67,25 +67,25 @@
             past = self._history.setdefault(address, [])
             if not past or past[-1][1] != (address in up):
                 past.append((now, address in up))
-        self.last_told_s = now
+        self.last_update_s = now
 
-    def tell(self, discovery: Discovery, *lines: dict[str, Any]) -> None:
-        """Let discovery's stand-in write these, in one piece."""
+    def send_update(self, discovery: Discovery, *lines: dict[str, Any]) -> None:
+        """Send these lines from the test discovery, with no wait in between."""
         writer = discovery.connections[-1][1]
         for line in lines:
             discovery.write_line(writer, line)
-            self.listed(line)
+            self.record_list(line)
 
     @property
     def grace_is_over(self) -> bool:
-        return monotonic() > self.last_told_s + GRACE_S
+        return monotonic() > self.last_update_s + GRACE_S
 
     def call(self, trace: str, cls: str = "look", left_ms: int = 2000, **fields: Any) -> bytes:
-        """A request that its client writes at this moment."""
-        self.clients[trace] = Sent(monotonic(), left_ms)
+        """Record a request as sent now, and return its bytes."""
+        self.clients[trace] = ClientRequest(monotonic(), left_ms)
         return raw_call(cls, trace, left_ms, **fields)
 
-    def closed(self, *traces: str) -> None:
+    def client_closed(self, *traces: str) -> None:
         for trace in traces:
             self.clients[trace].closed_s = monotonic()
 
@@ -96,24 +96,28 @@
         return [text for receipt in self.receipts for text in self._judge(receipt)]
 
     def _judge(self, r: Receipt) -> list[str]:
-        found = []
-        since = self._out_since(r)
+        violations = []
+        since = self._not_up_since(r)
         if since is None:
-            found.append(f"{r.trace} at {r.server}, an address that was never listed")
+            violations.append(f"{r.trace} at {r.server}, whose address was never listed")
         elif r.first_byte_s > since + GRACE_S:
-            found.append(f"{r.trace} at {r.server} {r.first_byte_s - since:.2f} s after it was told out")
+            violations.append(f"{r.trace} at {r.server} {r.first_byte_s - since:.2f} s after its withdrawal")
         client = self.clients.get(r.trace)
         if client is None:
-            return found
-        if client.closed_s is not None and r.first_byte_s > client.closed_s + GONE_S:
-            found.append(f"{r.trace} began {r.first_byte_s - client.closed_s:.2f} s after its client closed")
-        left_s = client.at_s + client.left_ms / 1000 - r.first_byte_s
-        if r.told_ms / 1000 > left_s + DEADLINE_SLACK_S:
-            found.append(f"{r.trace} at {r.server} was told {r.told_ms} ms with {left_s * 1000:.0f} ms left")
-        return found
-
-    def _out_since(self, r: Receipt) -> float | None:
-        """Since when the address was not up as the first byte came. Infinite: it was; None: it never was."""
+            return violations
+        if client.closed_s is not None and r.first_byte_s > client.closed_s + CANCEL_LIMIT_S:
+            violations.append(
+                f"{r.trace} began {r.first_byte_s - client.closed_s:.2f} s after its client closed"
+            )
+        left_s = client.sent_s + client.left_ms / 1000 - r.first_byte_s
+        if r.expires_in_ms / 1000 > left_s + DEADLINE_SLACK_S:
+            violations.append(
+                f"{r.trace} at {r.server} was told {r.expires_in_ms} ms with {left_s * 1000:.0f} ms left"
+            )
+        return violations
+
+    def _not_up_since(self, r: Receipt) -> float | None:
+        """Since when the address was not up, at the first byte: infinite if it was, None if never listed."""
         standing = None
         for at_s, up in self._history.get(r.address, []):
             if at_s <= r.first_byte_s:
@@ -122,7 +126,7 @@
 
 
 class Server(Peer):
-    """A server stand-in that reports each request's first byte, and answers as it is told."""
+    """A test server that records each request's first byte and sends the given answer."""
 
     def __init__(
         self, observer: Observer, name: str, answer: bytes | Callable[..., Awaitable[None]] = OK
@@ -146,7 +150,7 @@
             for request in parser.feed(data):
                 receipt = receipt or self._receipt()
                 receipt.trace = request.headers.get(TRACE, b"").decode()
-                receipt.told_ms, receipt = int(request.headers[EXPIRES]), None
+                receipt.expires_in_ms, receipt = int(request.headers[EXPIRES]), None
                 await self._answer(reader, writer)
 
     def _receipt(self) -> Receipt:
--- a/tests/scale/__init__.py
+++ b/tests/scale/__init__.py
@@ -1,5 +1,6 @@
-"""What control costs one sidecar as discovery's list grows: hollow sidecars (the real code of lists and
-decisions, no sockets) and real processes to check them by. `python -m tests.scale hollow` prints the figures.
+"""Control-plane cost of one sidecar as discovery's list grows, measured on hollow sidecars, which run the
+real list and balancing code without sockets, and checked on real processes.
 
-`listing` makes the list and its changes, `hollow` and `real` are the sidecars, `measure` reads processor time
-and memory, `job` and `check` take the figures of one size, `report` prints them."""
+`python -m tests.scale hollow` prints the figures. `listing` generates the list and its changes, `hollow` and
+`real` are the sidecars, `measure` reads CPU time and memory, `job` and `check` measure at one size, and
+`report` prints the results."""
--- a/tests/scale/check.py
+++ b/tests/scale/check.py
@@ -1,4 +1,4 @@
-"""The figures of one real sidecar process at one size, taken as those of hollow ones (tests/scale/job.py)."""
+"""Measures one real sidecar process at one size, as tests/scale/job.py measures hollow sidecars."""
 
 from __future__ import annotations
 
@@ -8,60 +8,58 @@
 from pathlib import Path
 from typing import Any
 
-from tests.scale.job import TOLD, observations
+from tests.scale.job import DATAGRAMS_PER_S, observations
 from tests.scale.listing import Listing, line
 from tests.scale.measure import Meter, Spread
 from tests.scale.real import RealSidecar, real_sidecar
 
-ROUNDS = 3  # of the changes, and windows of waiting
-
-
-PAUSE_S = 0.002  # between two datagrams: what its socket cannot hold is lost
-SETTLE_S = 1.5  # after the start: the last of what it makes then
+REPETITIONS = 3  # of the changes, and of the idle windows
+PAUSE_S = 0.002  # between datagrams: the socket drops what overflows its buffer
+SETTLE_S = 1.5  # after the start, until start-up work is over
 
 
 async def real_figures(home: Path, size: int, seed: int, store: bool, changes: int,
                        idle_s: float, learned: bool = True) -> dict[str, Any]:  # fmt: skip
-    """`learned`: also what it takes once peers have told of every server."""
+    """`learned`: also measure the idle cost once peers have reported every server."""
     home.mkdir()
     listing = Listing(size, seed)
     full = listing.full()
-    told = line(full)
-    async with real_sidecar(home, size, seed, full["members"][0], store) as car:
-        meter = car.meter
+    full_line = line(full)
+    async with real_sidecar(home, size, seed, full["members"][0], store) as sidecar:
+        meter = sidecar.meter
         figures: dict[str, Any] = {"size": size, "store": store, "base_rss": meter.rss()}
         await asyncio.sleep(SETTLE_S)
         idle = await _idle(meter, idle_s)
         cpu, rss, at = meter.cpu_s(), meter.rss(), time.monotonic()
-        await car.tell(told)
-        await car.until_listed(full["members"][-1]["id"])
+        await sidecar.send_line(full_line)
+        await sidecar.wait_until_listed(full["members"][-1]["id"])
         if store:
-            await car.until_saved(listing.revision)
+            await sidecar.wait_until_saved(listing.revision)
         figures["cpu_list"] = meter.cpu_s() - cpu - (time.monotonic() - at) * idle
         figures["rss_list"] = meter.rss() - rss
-        windows = [await _idle(meter, idle_s) for _ in range(ROUNDS)]
+        windows = [await _idle(meter, idle_s) for _ in range(REPETITIONS)]
         figures["cpu_idle"] = Spread.of(windows)
-        figures |= await _changes(car, listing, store, changes, Spread.of(windows).median)
+        figures |= await _changes(sidecar, listing, store, changes, Spread.of(windows).median)
         if learned:
-            figures["cpu_learned"] = await _learned(car, observations(listing.rows), idle_s)
+            figures["cpu_learned"] = await _learned(sidecar, observations(listing.rows), idle_s)
         return figures
 
 
-async def _learned(car: RealSidecar, datagrams: list[bytes], idle_s: float) -> Spread:
-    """What a second of waiting takes once peers have told of every server, and go on to."""
-    with car.peer() as tell:
+async def _learned(sidecar: RealSidecar, datagrams: list[bytes], idle_s: float) -> Spread:
+    """CPU time per idle second once peers have reported every server, and while they keep reporting."""
+    with sidecar.peer() as send_datagram:
         for data in datagrams:
-            tell(data)
+            send_datagram(data)
             await asyncio.sleep(PAUSE_S)
-        await asyncio.sleep(SETTLE_S * 2)  # the store takes up what was heard
-        windows, count = [], round(TOLD * idle_s)
-        for _ in range(ROUNDS):
-            before, at = car.meter.cpu_s(), time.monotonic()
+        await asyncio.sleep(SETTLE_S * 2)  # until the store has saved the reports
+        windows, count = [], round(DATAGRAMS_PER_S * idle_s)
+        for _ in range(REPETITIONS):
+            before, at = sidecar.meter.cpu_s(), time.monotonic()
             for _ in range(count):
                 await asyncio.sleep(idle_s / count)
                 datagrams.append(datagrams.pop(0))
-                tell(datagrams[-1])
-            windows.append((car.meter.cpu_s() - before) / (time.monotonic() - at))
+                send_datagram(datagrams[-1])
+            windows.append((sidecar.meter.cpu_s() - before) / (time.monotonic() - at))
     return Spread.of(windows)
 
 
@@ -71,22 +69,25 @@
     return (meter.cpu_s() - before) / (time.monotonic() - at)
 
 
-async def _changes(car: RealSidecar, listing: Listing, store: bool, count: int,
+async def _changes(sidecar: RealSidecar, listing: Listing, store: bool, count: int,
                    idle: float) -> dict[str, Any]:  # fmt: skip
-    """Less what the waiting takes. With the store, each change is told once the one before it is on the
-    disk: else the store would take several at a time."""
-    rounds, meter, written = [], car.meter, car.meter.written()
-    for _ in range(ROUNDS):
-        told = []
+    """The cost of changes, less the idle cost. With a store, each change is sent once the previous one is on
+    disk, as the store would otherwise save several at once."""
+    rounds, meter, written = [], sidecar.meter, sidecar.meter.written()
+    for _ in range(REPETITIONS):
+        pending = []
         for n in range(count):
-            change = listing.change("added" if n + 1 == count else "")  # the last is seen in the log
-            told.append((listing.revision, change["members"][0]["id"], line(change)))
+            change = listing.change("added" if n + 1 == count else "")  # the sidecar logs an added server
+            pending.append((listing.revision, change["members"][0]["id"], line(change)))
         gc.collect()
         cpu, at = meter.cpu_s(), time.monotonic()
-        for revision, _, data in told:
-            await car.tell(data)
+        for revision, _, data in pending:
+            await sidecar.send_line(data)
             if store:
-                await car.until_saved(revision)
-        await car.until_listed(told[-1][1])
+                await sidecar.wait_until_saved(revision)
+        await sidecar.wait_until_listed(pending[-1][1])
         rounds.append((meter.cpu_s() - cpu - (time.monotonic() - at) * idle) / count)
-    return {"cpu_change": Spread.of(rounds), "written_change": (meter.written() - written) / ROUNDS / count}
+    return {
+        "cpu_change": Spread.of(rounds),
+        "written_change": (meter.written() - written) / REPETITIONS / count,
+    }
--- a/tests/scale/listing.py
+++ b/tests/scale/listing.py
@@ -1,4 +1,4 @@
-"""A made fleet of order servers, all from a seed: its list in discovery's form, and a stream of changes."""
+"""Generates a fleet of order servers from a seed: its list in discovery's format, and a stream of changes."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 REGIONS, ZONES_EACH = 7, 4
 ZONES = tuple(f"r{region}-{zone}" for region in range(REGIONS) for zone in "abcd"[:ZONES_EACH])
 SKUS = ("m1", "m2")
-SERVICE_MEAN = 15  # servers of a service
+SERVICE_MEAN = 15  # mean number of servers per service
 KINDS = ("drain", "removed", "added", "restarted")
-EPOCH_MS = 1_790_000_000_000  # of a made clock
+EPOCH_MS = 1_790_000_000_000  # of the simulated clock
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 Row = dict[str, Any]
 
 
 def line(raw: dict[str, Any]) -> bytes:
-    """As discovery writes an object: on one line, with no spaces."""
+    """An object as discovery writes it: on one line, without spaces."""
     return json.dumps(raw, separators=(",", ":")).encode() + b"\n"
 
 
@@ -27,7 +27,7 @@
 
 
 class Listing:
-    """What discovery has. `change` alters it and says how, as discovery would tell it."""
+    """Discovery's list. `change` alters it and returns the change as discovery would send it."""
 
     def __init__(self, count: int, seed: int, now_ms: int = EPOCH_MS) -> None:
         self._random, self._count, self._now_ms = Random(seed), count, now_ms
@@ -43,12 +43,12 @@
         return {"revision": self.revision, "complete": True, "members": list(self.rows.values())}
 
     def change(self, kind: str = "") -> dict[str, Any]:
-        """One row, of that kind, or of one drawn from those that there is a server for."""
+        """Change one row, in the given way or in one drawn from those possible."""
         if not kind:
             kind = self._random.choice(KINDS)
             if kind == "removed" and not self._draining or kind == "added" and len(self.rows) >= self._count:
                 kind = "drain"
-        self._now_ms += self._random.randint(100, 8_000)  # 22,000 a day: 4 s apart in the mean
+        self._now_ms += self._random.randint(100, 8_000)  # 22,000 a day, 4 s apart on average
         row: Row = getattr(self, f"_{kind}")()
         self.revision += 1
         return {"revision": self.revision, "complete": False, "members": [row]}
@@ -82,7 +82,7 @@
         return self.rows.pop(member_id) | {"phase": "removed"}
 
     def _restarted(self) -> Row:
-        """A server that drains and comes back is up again."""
+        """Restart a server; a draining one is up again."""
         member_id = self._random.choice(list(self.rows))
         if member_id in self._draining:
             self._draining.remove(member_id)
--- a/tests/scale/measure.py
+++ b/tests/scale/measure.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and bytes written of a process; medians with their spread; a least-squares fit."""
+"""CPU time, memory and bytes written of a process; medians with their range; a least-squares fit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Spread(NamedTuple):
-    """Of repetitions: the median, and from where to where they lie."""
+    """The median and the range of repeated measurements."""
 
     median: float
     low: float
@@ -31,7 +31,7 @@
 
 
 class Times:
-    """Many times in seconds: the median, and p10 to p90."""
+    """A histogram of durations in seconds: the median, and p10 to p90."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, 600_000_000_000, 3)
@@ -44,7 +44,7 @@
 
 
 class Fit(NamedTuple):
-    """y = base + slope * x; `worst`: the greatest deviation of a point from it, which is at `worst_at`."""
+    """y = base + slope * x; `worst` is the greatest deviation of a point, at x = `worst_at`."""
 
     base: float
     slope: float
@@ -53,7 +53,7 @@
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
-    """By least squares."""
+    """The least-squares line through the points."""
     mean_x, mean_y = (statistics.fmean(column) for column in zip(*points, strict=True))
     over = sum((x - mean_x) * (y - mean_y) for x, y in points)
     slope = over / sum((x - mean_x) ** 2 for x, _ in points)
@@ -63,7 +63,7 @@
 
 
 class Meter:
-    """Of one process, this or another."""
+    """Reads the resource use of one process, by default this one."""
 
     def __init__(self, pid: int | None = None) -> None:
         self._process = psutil.Process(pid or os.getpid())
@@ -73,7 +73,7 @@
         self._clock = clock.value
 
     def cpu_s(self) -> float:
-        """Of all its threads, in nanoseconds' steps: psutil's are 10 ms, an idle second takes less."""
+        """CPU time of all threads, to the nanosecond: psutil's steps of 10 ms exceed an idle second's use."""
         return time.clock_gettime(self._clock)
 
     def rss(self) -> int:
--- a/tests/scale/real.py
+++ b/tests/scale/real.py
@@ -1,4 +1,4 @@
-"""One real sidecar process and the discovery that tells it the made list, to check hollow ones by."""
+"""One real sidecar process, and the discovery that sends it the generated list."""
 
 from __future__ import annotations
 
@@ -21,61 +21,61 @@
 from tests.test_admin import until_ready
 
 START_S = 20.0
-SIGN_S = 1.0  # between two empty lines: later ones than 2.5 s would make it call anew
-LOOK_S = 0.005  # between two looks at what it has written
+HEARTBEAT_INTERVAL_S = 1.0  # between empty lines; after 2.5 s without one a sidecar calls again
+POLL_S = 0.005  # between reads of what the sidecar has written
 
 
-class BeatingDiscovery(Discovery):
-    """Says what the test tells it to, and now and then that it is there."""
+class HeartbeatDiscovery(Discovery):
+    """Sends the lines that the test gives it, and empty lines in between."""
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await super()._connected(reader, writer)
-        with suppress(asyncio.CancelledError):  # the loop ends: nobody waits for this
+        with suppress(asyncio.CancelledError):  # cancelled when the loop ends; nothing awaits this task
             while not writer.is_closing():
                 self.write_line(writer, b"")
-                await asyncio.sleep(SIGN_S)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
 class RealSidecar:
-    def __init__(self, process: asyncio.subprocess.Process, discovery: BeatingDiscovery, admin: Address,
+    def __init__(self, process: asyncio.subprocess.Process, discovery: HeartbeatDiscovery, admin: Address,
                  home: Path) -> None:  # fmt: skip
         self.process, self.discovery, self.admin, self.home = process, discovery, admin, home
         self.meter = Meter(process.pid)
-        self._log = open(home / "log", "rb")  # noqa: SIM115  # as long as the process
-        self._seen = b""
+        self._log = open(home / "log", "rb")  # noqa: SIM115  # open as long as the process runs
+        self._log_tail = b""
         self._reader: sqlite3.Connection | None = None
 
-    async def tell(self, line: bytes) -> None:
+    async def send_line(self, line: bytes) -> None:
         writer = self.discovery.connections[-1][1]
         self.discovery.write_line(writer, line.rstrip(b"\n"))
         await writer.drain()
 
-    async def until_listed(self, member_id: str) -> None:
-        """Until it has a server that it did not have before: its log names it, and what it does with the list
-        is over before it answers a call."""
+    async def wait_until_listed(self, member_id: str) -> None:
+        """Wait until a server new to the sidecar appears in its log. The sidecar then finishes the update
+        before it answers a call."""
         name = f" is {member_id} at ".encode()
-        while name not in self._seen:
-            self._seen = self._seen[-200:] + self._log.read()
-            await asyncio.sleep(LOOK_S)
+        while name not in self._log_tail:
+            self._log_tail = self._log_tail[-200:] + self._log.read()
+            await asyncio.sleep(POLL_S)
         await until_ready(self.admin)
 
-    async def until_saved(self, revision: int) -> None:
-        """Until the list of that revision is in its state store."""
+    async def wait_until_saved(self, revision: int) -> None:
+        """Wait until the list of that revision is in the state store."""
         if self._reader is None:
             self._reader = sqlite3.connect(store_path(self.home, "n0"))
         while self._reader.execute("SELECT max(revision) FROM list_heads").fetchone()[0] != revision:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
     @contextmanager
     def peer(self) -> Iterator[Callable[[bytes], object]]:
-        """Sidecar 1 of the fleet: sends it a datagram."""
+        """A function that sends the sidecar a datagram from sidecar 1 of the fleet."""
         config = json.loads((self.home / "config.json").read_text())
         here, there = Address.parse(config["peers"][1]), Address.parse(config["peer_listen"])
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             sock.bind(here)
             yield lambda data: sock.sendto(data, there)
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self._log.close()
         if self._reader:
             self._reader.close()
@@ -88,8 +88,8 @@
 async def real_sidecar(
     home: Path, size: int, seed: int, known: Row, store: bool
 ) -> AsyncIterator[RealSidecar]:
-    """A process that is ready and watches, with one server known."""
-    async with BeatingDiscovery().serve() as discovery:
+    """A ready process with an open watch and one known server."""
+    async with HeartbeatDiscovery().serve() as discovery:
         config = write_config(home, size, seed, [known], free_port())
         admin = Address("127.0.0.1", free_port())
         env = {name: value for name, value in os.environ.items() if name not in ("TMPDIR", "LB_STATE_DIR")}
@@ -101,12 +101,12 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "anisespool", env=env, stderr=log
             )
-        it = RealSidecar(process, discovery, admin, home)
+        sidecar = RealSidecar(process, discovery, admin, home)
         try:
             async with asyncio.timeout(START_S):
                 await until_ready(admin)
                 while not discovery.connections:
-                    await asyncio.sleep(LOOK_S)
-            yield it
+                    await asyncio.sleep(POLL_S)
+            yield sidecar
         finally:
-            await it.end()
+            await sidecar.stop()
--- a/tests/scale/report.py
+++ b/tests/scale/report.py
@@ -1,4 +1,4 @@
-"""The figures as text: a table, the fits over sizes, and hollow sidecars against real ones."""
+"""Prints the figures: a table, fits over the sizes, and hollow sidecars compared with real ones."""
 
 from __future__ import annotations
 
@@ -7,8 +7,14 @@
 
 from tests.scale.measure import Spread, fit
 
-TOLERANCE = 0.2  # of a hollow sidecar's figure, from the real one's
-STORED = ("cpu_list", "cpu_change", "written_change", "rss_list", "rss_first")  # in part the stored list's
+TOLERANCE = 0.2  # relative difference of a hollow sidecar's figure from a real one's
+STORED = (
+    "cpu_list",
+    "cpu_change",
+    "written_change",
+    "rss_list",
+    "rss_first",
+)  # include the cost of the stored list
 Figures = dict[str, Any]
 
 
@@ -17,7 +23,7 @@
     kind: str  # hollow or real
     store: bool
     key: str
-    unit: float  # that the figure is shown in
+    unit: float  # in which the figure is shown
     fitted: bool = False
 
 
@@ -48,7 +54,7 @@
     Row("real: list in memory, store, MB", "real", True, "rss_list", 1e6, True),
     Row("real: before the list, MB", "real", True, "base_rss", 1e6, True),
 )
-CHECKED = (("cpu_first", "cpu_list"), ("cpu_change_mean", "cpu_change"), ("rss_first", "rss_list"),
+COMPARED_KEYS = (("cpu_first", "cpu_list"), ("cpu_change_mean", "cpu_change"), ("rss_first", "rss_list"),
            ("written_change", "written_change"), ("cpu_idle", "cpu_idle"),
            ("cpu_learned", "cpu_learned"))  # fmt: skip
 
@@ -69,34 +75,34 @@
     yield ""
     yield "hollow against real | size | store | hollow | real | hollow / real"
     yield "--- | --- | --- | --- | --- | ---"
-    yield from (checked.text for checked in [*against_real(found), *slopes_against_real(found)])
+    yield from (checked.text for checked in [*compare_with_real(found), *compare_slopes_with_real(found)])
 
 
-class Checked(NamedTuple):
+class Comparison(NamedTuple):
     text: str
     ratio: float
 
     @property
-    def holds(self) -> bool:
+    def is_within_tolerance(self) -> bool:
         return abs(self.ratio - 1) <= TOLERANCE
 
 
-def against_real(found: Sequence[Figures]) -> list[Checked]:
-    """Each figure that both have, hollow over real."""
+def compare_with_real(found: Sequence[Figures]) -> list[Comparison]:
+    """The ratio hollow to real for each figure that both have."""
     hollow = {(f["store"], f["size"]): f for f in found if f["kind"] == "hollow"}
     checked = []
     for real in [f for f in found if f["kind"] == "real"]:
-        beside = hollow.get((real["store"], real["size"]))
-        for ours, theirs in CHECKED if beside else ():
-            assert beside
+        hollow_figures = hollow.get((real["store"], real["size"]))
+        for ours, theirs in COMPARED_KEYS if hollow_figures else ():
+            assert hollow_figures
             if theirs in real and (ours != "written_change" or real["store"]):
-                a, b = _median(beside[ours]), _median(real[theirs])
-                checked.append(_checked(theirs, str(real["size"]), real["store"], a, b))
+                a, b = _median(hollow_figures[ours]), _median(real[theirs])
+                checked.append(_compare(theirs, str(real["size"]), real["store"], a, b))
     return checked
 
 
-def slopes_against_real(found: Sequence[Figures]) -> list[Checked]:
-    """How much each figure grows by a row of the list, over the sizes that both were taken at."""
+def compare_slopes_with_real(found: Sequence[Figures]) -> list[Comparison]:
+    """The growth of each figure per row of the list, over the sizes at which both were measured."""
     checked = []
     for store in (False, True):
         by = {(f["kind"], f["size"]): f for f in found if f["store"] is store}
@@ -105,15 +111,15 @@
             if len(sizes) > 1:
                 a = fit([(size, _median(by["hollow", size][ours])) for size in sizes]).slope
                 b = fit([(size, _median(by["real", size][theirs])) for size in sizes]).slope
-                checked.append(_checked(theirs, "a row", store, a, b))
+                checked.append(_compare(theirs, "a row", store, a, b))
     return checked
 
 
-def _checked(name: str, size: str, store: bool, ours: float, theirs: float) -> Checked:
+def _compare(name: str, size: str, store: bool, ours: float, theirs: float) -> Comparison:
     ratio = ours / theirs if theirs else float("inf")
     verdict = "" if abs(ratio - 1) <= TOLERANCE else " (over 20 % off)"
     text = f"{name} | {size} | {'yes' if store else 'no'} | {ours:.4g} | {theirs:.4g} | {ratio:.2f}{verdict}"
-    return Checked(text, ratio)
+    return Comparison(text, ratio)
 
 
 def _fit(row: Row, by: dict[tuple[str, bool, int], Figures], sizes: Sequence[int]) -> Iterator[str]:
@@ -128,7 +134,7 @@
 
 
 def _is_cut(by: dict[tuple[str, bool, int], Figures], size: int) -> bool:
-    """Whether the store keeps only a part of so long a list: such sizes lie on no line with the others."""
+    """Whether the store keeps only part of a list of this size; such sizes are left out of the fit."""
     return not by.get(("hollow", True, size), {}).get("whole", True)
 
 
--- a/tests/scale/test_change_cost.py
+++ b/tests/scale/test_change_cost.py
@@ -1,4 +1,4 @@
-"""What a change of the list costs a real process, short list and long, with faults between."""
+"""The CPU cost of a list change in a real process, with a short and a long list, with faults in between."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 CHANGES = 40
 
 
-async def take(car: RealSidecar, listing: Listing, count: int) -> None:
-    """Changes one by one, each told once the one before it is on the disk."""
+async def apply_changes(sidecar: RealSidecar, listing: Listing, count: int) -> None:
+    """Send changes one at a time, each once the previous one is on disk."""
     for change in listing.changes(count):
-        await car.tell(change)
-        await car.until_saved(json.loads(change)["revision"])
+        await sidecar.send_line(change)
+        await sidecar.wait_until_saved(json.loads(change)["revision"])
 
 
-async def stopped(car: RealSidecar, listing: Listing) -> None:
-    """What is told meanwhile comes at once when it goes on."""
-    car.process.send_signal(signal.SIGSTOP)
+async def pause_process(sidecar: RealSidecar, listing: Listing) -> None:
+    """Stop the process; the changes sent meanwhile arrive together when it continues."""
+    sidecar.process.send_signal(signal.SIGSTOP)
     for change in listing.changes(10):
-        await car.tell(change)
-    car.process.send_signal(signal.SIGCONT)
-    await car.until_saved(listing.revision)
+        await sidecar.send_line(change)
+    sidecar.process.send_signal(signal.SIGCONT)
+    await sidecar.wait_until_saved(listing.revision)
 
 
-async def cut_off(car: RealSidecar, listing: Listing) -> None:
-    """It calls anew, and gets the whole list, of which some has changed."""
-    calls = len(car.discovery.connections)
-    car.discovery.connections[-1][1].transport.abort()
+async def reconnect(sidecar: RealSidecar, listing: Listing) -> None:
+    """Cut the watch; the sidecar calls again and gets the full list, which has changed meanwhile."""
+    calls = len(sidecar.discovery.connections)
+    sidecar.discovery.connections[-1][1].transport.abort()
     listing.changes(10)
-    await until(lambda: len(car.discovery.connections) > calls)
-    await car.tell(line(listing.full()))
-    await car.until_saved(listing.revision)
+    await until(lambda: len(sidecar.discovery.connections) > calls)
+    await sidecar.send_line(line(listing.full()))
+    await sidecar.wait_until_saved(listing.revision)
 
 
 async def change_cost(home: Path, size: int) -> float:
-    """Processor seconds for a change, of a process that ends by SIGKILL with discovery's list on its disk."""
+    """CPU seconds per change. Also checks that the list is on disk after the process is killed."""
     home.mkdir()
     listing, spent = Listing(size, 5), 0.0
-    async with real_sidecar(home, size, 5, listing.full()["members"][0], store=True) as car:
-        await car.tell(line(listing.full()))
-        await car.until_saved(listing.revision)
-        for fault in (stopped, cut_off):
-            before = car.meter.cpu_s()
-            await take(car, listing, CHANGES)
-            spent += car.meter.cpu_s() - before
-            await fault(car, listing)
-        car.process.kill()
-        await car.process.wait()
+    async with real_sidecar(home, size, 5, listing.full()["members"][0], store=True) as sidecar:
+        await sidecar.send_line(line(listing.full()))
+        await sidecar.wait_until_saved(listing.revision)
+        for fault in (pause_process, reconnect):
+            before = sidecar.meter.cpu_s()
+            await apply_changes(sidecar, listing, CHANGES)
+            spent += sidecar.meter.cpu_s() - before
+            await fault(sidecar, listing)
+        sidecar.process.kill()
+        await sidecar.process.wait()
     store = Store.open(home, "n0")
     assert store and (stored := store.last_list())
     store.close()
@@ -68,8 +68,8 @@
 
 @pytest.mark.timeout(40)
 async def test_a_change_costs_a_sidecar_as_much_whether_its_list_is_short_or_long(tmp_path: Path) -> None:
-    """It cost by what was listed: at 9,100, with the store, 15 ms of a core, in which requests wait.
-    Both are measured side by side, so that what else the machine does falls on both."""
+    """The cost used to grow with the list: with 9,100 servers and the store a change took 15 ms of CPU time,
+    in which requests wait. Both run side by side, so that other load on the machine affects both."""
     short, long = await asyncio.gather(*(change_cost(tmp_path / f"{n}", n) for n in (SHORT, LONG)))
     print(f"{short * 1e3:.2f} ms a change at {SHORT} listed, {long * 1e3:.2f} ms at {LONG}")
     assert 0 < long < 3 * short
--- a/tests/scale_fleet/__init__.py
+++ b/tests/scale_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the control plane and a whole fleet take as the fleet grows: `python -m tests.scale_fleet`."""
+"""Load on the control plane and on a whole fleet as the fleet grows: `python -m tests.scale_fleet`."""
--- a/tests/scale_fleet/__main__.py
+++ b/tests/scale_fleet/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.scale_fleet [--sizes ...] [--seed N] [--json FILE]`: the tables, in some minutes."""
+"""`python -m tests.scale_fleet [--sizes ...] [--seed N] [--json FILE]`: prints tables, in some minutes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from pathlib import Path
 
 from tests.scale_fleet import agreement, collisions, gossip_scenarios, list_cost, scenarios, tables
-from tests.scale_fleet.course import Play
 from tests.scale_fleet.lines import CHANGES_S, ZONES
 from tests.scale_fleet.scenarios import CAPACITIES
+from tests.scale_fleet.simulation import Params
 from tests.scale_fleet.tables import Row
 
 SIZES = (200, 455, 910, 2275, 4550, 9100, 18200)
-WORKERS = 4  # of a machine that others use, too
-BUDGET_CORE = 0.013  # of a core, for control
+WORKERS = 4  # leaves cores for others on the machine
+BUDGET_CORE = 0.013  # share of a core for control work
 
 Job = Callable[[], list[Row]]
 
@@ -35,22 +35,23 @@
 
 
 def jobs(sizes: Sequence[int], seed: int) -> list[Job]:
-    """The longest first."""
-    checks = [[Play(20, 20, 3.0, True, down_s=8.0)],
-              [Play(20, 20, 8.0, True, down_s=8.0), Play(20, 20, 8.0, True)] * 2,
-              [Play(20, 20, 4.0, False, down_s=8.0), Play(20, 20, 4.0, False)] * 2]  # fmt: skip
-    out: list[Job] = [partial(agreement.processed, plays, seed) for plays in checks]
-    for play in (Play(455, 455, 80.0, True, down_s=8.0), Play(455, 455, 80.0, False, down_s=8.0),
-                 Play(200, 200, 80.0, True, down_s=8.0), Play(20, 20, 8.0, True, down_s=8.0)):  # fmt: skip
-        out.append(partial(agreement.watched, play, seed))
+    """All jobs, the longest first."""
+    checks = [[Params(20, 20, 3.0, True, down_s=8.0)],
+              [Params(20, 20, 8.0, True, down_s=8.0), Params(20, 20, 8.0, True)] * 2,
+              [Params(20, 20, 4.0, False, down_s=8.0), Params(20, 20, 4.0, False)] * 2]  # fmt: skip
+    out: list[Job] = [partial(agreement.check_processes, params_list, seed) for params_list in checks]
+    for params in (Params(455, 455, 80.0, True, down_s=8.0), Params(455, 455, 80.0, False, down_s=8.0),
+                   Params(200, 200, 80.0, True, down_s=8.0),
+                   Params(20, 20, 8.0, True, down_s=8.0)):  # fmt: skip
+        out.append(partial(agreement.check_watches, params, seed))
     for size in sorted(sizes, reverse=True):
         for per_s in CAPACITIES:
             out += [partial(scenarios.outage, size, seed, per_s, costs) for costs in (True, False)]
         out += [partial(gossip_scenarios.rates, size, seed, n) for n in gossip_scenarios.TENANTS_PLAYED]
-        for play_of in (scenarios.needed, scenarios.region, scenarios.steady, scenarios.answers,
+        for make_rows in (scenarios.needed, scenarios.region, scenarios.steady, scenarios.answers,
                         scenarios.lost, scenarios.restarts, gossip_scenarios.talk, gossip_scenarios.warm,
                         gossip_scenarios.ejections, gossip_scenarios.ids, cost):  # fmt: skip
-            out.append(partial(play_of, size, seed))
+            out.append(partial(make_rows, size, seed))
     return out
 
 
@@ -59,10 +60,10 @@
     parser.add_argument("--sizes", type=int, nargs="+", default=SIZES)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", type=Path)
-    wanted = parser.parse_args()
+    arguments = parser.parse_args()
     began = time.monotonic()
     with ProcessPoolExecutor(WORKERS) as pool:
-        futures = [pool.submit(job) for job in jobs(wanted.sizes, wanted.seed)]
+        futures = [pool.submit(job) for job in jobs(arguments.sizes, arguments.seed)]
         rows = [row for future in futures for row in future.result()]
     rows.sort(key=lambda row: (row.scenario, row.case, row.size))
     print(tables.text(rows))
@@ -70,13 +71,15 @@
     print("\nthe smallest size at which a bound breaks, or a check differs (-: at none played)")
     for case, size in first.items():
         print(f"{size:>8,}  {case}" if size else f"{'-':>8}  {case}")
-    print("\nthe real list, of two servers with one shared id:", collisions.reached(wanted.seed))
-    print(f"seed {wanted.seed}, {time.monotonic() - began:.0f} s")
-    if wanted.json:
+    print("\nthe real list, of two servers with one shared id:", collisions.reached(arguments.seed))
+    print(f"seed {arguments.seed}, {time.monotonic() - began:.0f} s")
+    if arguments.json:
         body = [row._asdict() | {"figures": {name: value if isfinite(value) else None
                                              for name, value in row.figures.items()}}
                 for row in rows]  # fmt: skip
-        wanted.json.write_text(json.dumps({"seed": wanted.seed, "rows": body, "first": first}, indent=1))
+        arguments.json.write_text(
+            json.dumps({"seed": arguments.seed, "rows": body, "first": first}, indent=1)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/scale_fleet/collisions.py
+++ b/tests/scale_fleet/collisions.py
@@ -1,4 +1,4 @@
-"""Shared ids of 32 bits: how likely two of a list's servers have one, and what the real list does then."""
+"""Collisions of 32-bit shared ids: their probability in a list, and how the real list handles one."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from anisespool.servers import Servers
 from shuntlead.interface import EndpointState, ListedEndpoint, ListForm
 
-NAMES = 300_000  # made, to count pairs among: some ten
+NAMES = 300_000  # generated names, among which about ten pairs collide
 
 
 class Collisions(NamedTuple):
     size: int
-    likely: float  # that two of so many servers have one shared id
-    pairs: int  # of `names` made names with the real function
+    likely: float  # probability that two of `size` servers share an id
+    pairs: int  # colliding pairs among `names` names
     expected: float
     names: int
 
@@ -36,7 +36,7 @@
 
 
 def pair(seed: int) -> tuple[str, str]:
-    """Two names with one shared id."""
+    """Two names with the same shared id."""
     seen: dict[int, str] = {}
     for n in counting():
         name = f"s-{seed:x}-{n:x}"
@@ -47,14 +47,14 @@
 
 
 class Alike(NamedTuple):
-    """Of two servers with one shared id: which peers' words reach."""
+    """Which of two servers with the same shared id peers' reports apply to."""
 
     both_listed: list[str]
-    first_left: list[str]  # after the other, which was listed later, has gone
+    first_left: list[str]  # after the server listed later was removed
 
 
 def reached(seed: int) -> Alike:
-    """By the real list."""
+    """Determined with the real list."""
     servers, names = Servers({}, 0), pair(seed)
     members = [_member(name, EndpointState.READY) for name in names]
     servers.apply(MemberList(1, True, tuple(members)), ListForm.FULL)
--- a/tests/scale_fleet/discovery.py
+++ b/tests/scale_fleet/discovery.py
@@ -1,8 +1,8 @@
-"""A stand-in for discovery that works calls off in turn, on any clock: virtual, or that of an event loop.
+"""A simulated discovery that serves calls in order, on a virtual clock or that of an event loop.
 
-Assumptions: `per_s` calls a second for all machines together, one queue before them; a call that has waited
-QUEUE_S is answered 503. Whether that costs as much work as an answer is for the caller to say: the service of
-the contract does not tell. A call whose caller has given it up stays in the queue.
+Assumptions: all machines together serve `per_s` calls a second from one queue; a call that has waited
+longer than MAX_QUEUE_S is answered 503. `refusals_cost` says whether that takes as long as an answer, as the
+contract does not specify it. A call abandoned by its caller stays in the queue.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from functools import partial
 from typing import Protocol
 
-QUEUE_S = 2.0  # a call waits no longer
-RESET_S = 0.001  # a call to a machine that refuses it
+MAX_QUEUE_S = 2.0  # longest time that a call spends in the queue
+RESET_S = 0.001  # until a refused connection is reset
 
 
-class Times(Protocol):
+class Scheduler(Protocol):
     def time(self) -> float: ...
 
     def call_at(self, when: float, callback: Callable[[], object], /) -> object: ...
 
 
 class Timeline:
-    """A virtual clock: it stands at the next thing to do."""
+    """A virtual clock that jumps to the next scheduled callback."""
 
     def __init__(self) -> None:
         self._now, self._count = 0.0, 0
@@ -45,49 +45,49 @@
 
 class Caller(Protocol):
     def answered(self) -> bool:
-        """Whether anybody still waited for it."""
+        """Returns whether the caller was still waiting."""
         ...
 
     def failed(self) -> None: ...
 
 
-class StandIn:
-    def __init__(self, times: Times, per_s: float, refusals_cost: bool, hangs: bool = False) -> None:
-        """`hangs`: while it is down calls get no word, else they are reset."""
+class SimulatedDiscovery:
+    def __init__(self, scheduler: Scheduler, per_s: float, refusals_cost: bool, hangs: bool = False) -> None:
+        """`hangs`: while it is down, calls get no response; otherwise they are reset."""
         self.per_s, self.up = per_s, True
         self.calls, self.outcomes = Counter[int](), Counter[str]()  # calls by whole seconds
-        self._times, self._costs, self._hangs = times, refusals_cost, hangs
+        self._scheduler, self._refusals_cost, self._hangs = scheduler, refusals_cost, hangs
         self._queue: deque[tuple[float, Caller]] = deque()
-        self._at_work = False
+        self._is_busy = False
 
     def call(self, caller: Caller) -> None:
-        now = self._times.time()
+        now = self._scheduler.time()
         self.calls[int(now)] += 1
         if self.up:
             self._queue.append((now, caller))
-            if not self._at_work:
-                self._next()
+            if not self._is_busy:
+                self._start_next()
         elif not self._hangs:
             self.outcomes["reset"] += 1
-            self._times.call_at(now + RESET_S, caller.failed)
+            self._scheduler.call_at(now + RESET_S, caller.failed)
 
-    def _next(self) -> None:
-        now, self._at_work = self._times.time(), False
-        while self._queue and not self._at_work:
+    def _start_next(self) -> None:
+        now, self._is_busy = self._scheduler.time(), False
+        while self._queue and not self._is_busy:
             arrived, caller = self._queue.popleft()
-            late = now - arrived > QUEUE_S
-            if late and not self._costs:
+            late = now - arrived > MAX_QUEUE_S
+            if late and not self._refusals_cost:
                 self._refuse(caller)
                 continue
-            self._at_work = True
-            self._times.call_at(now + 1 / self.per_s, partial(self._worked, caller, late))
+            self._is_busy = True
+            self._scheduler.call_at(now + 1 / self.per_s, partial(self._finish_call, caller, late))
 
-    def _worked(self, caller: Caller, late: bool) -> None:
+    def _finish_call(self, caller: Caller, late: bool) -> None:
         if late:
             self._refuse(caller)
         else:
             self.outcomes["answered" if caller.answered() else "answered in vain"] += 1
-        self._next()
+        self._start_next()
 
     def _refuse(self, caller: Caller) -> None:
         self.outcomes["refused"] += 1
--- a/tests/scale_fleet/gossip_scenarios.py
+++ b/tests/scale_fleet/gossip_scenarios.py
@@ -1,4 +1,4 @@
-"""Rows of figures on what sidecars tell each other."""
+"""Rows of figures on the messages between sidecars."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.scale_fleet.tables import Row, over
 
 LOSSES = 0.0, 0.01, 0.2
-EJECTIONS = 40  # played
-TENANTS_PLAYED = {1: 2275, 8: 910, 40: 455}  # tenants -> the largest fleet that is played: it takes long
+EJECTIONS = 40  # simulated runs
+TENANTS_PLAYED = {1: 2275, 8: 910, 40: 455}  # tenants -> the largest fleet simulated, as runs are slow
 
 
 def talk(size: int, seed: int) -> list[Row]:
@@ -27,15 +27,15 @@
 def ejections(size: int, seed: int) -> list[Row]:
     rows = []
     for loss in LOSSES:
-        plays = [datagrams.eject(size, loss, seed * EJECTIONS + n) for n in range(EJECTIONS)]
-        tellers = statistics.mean(it.tellers for it in plays)
-        zone = statistics.mean(it.zone_heard_bytes for it in plays)
-        figures = {"99 in 100 (s)": statistics.median(it.p99_s for it in plays),
-                   "last (s)": statistics.median(it.last_s for it in plays),
-                   "most (s)": max(it.last_s for it in plays), "tellers": tellers,
-                   "B heard": statistics.mean(it.heard_bytes for it in plays),
+        results = [datagrams.eject(size, loss, seed * EJECTIONS + n) for n in range(EJECTIONS)]
+        reporters = statistics.mean(it.reporters for it in results)
+        zone = statistics.mean(it.zone_heard_bytes for it in results)
+        figures = {"99 in 100 (s)": statistics.median(it.p99_s for it in results),
+                   "last (s)": statistics.median(it.last_s for it in results),
+                   "most (s)": max(it.last_s for it in results), "tellers": reporters,
+                   "B heard": statistics.mean(it.heard_bytes for it in results),
                    "KB heard in 0.5 s, a zone at once": zone / 1000,
-                   "KB sent one by one": plays[0].unicast_bytes / 1000}  # fmt: skip
+                   "KB sent one by one": results[0].unicast_bytes / 1000}  # fmt: skip
         rows.append(Row("g. verdict of a quorum:", f"{loss:.0%} lost", size, figures,
                         over({"13 KB/s in a zone's loss": 2 * zone > BUDGET_BYTES_S})))  # fmt: skip
     return rows
@@ -54,7 +54,7 @@
 
 
 def rates(size: int, seed: int, count: int) -> list[Row]:
-    """Not played in large fleets: there `at most` says all, what a sidecar can hear while it is fresh."""
+    """Not simulated in large fleets, where the upper bound `at_most` on fresh reports decides."""
     at_most = min(1.0, REPORT_LIFETIME_NS // REPORT_INTERVAL_NS * max_reports(count) / (size - 1))
     figures = {"reports a datagram": float(max_reports(count)), "part heard at most": at_most}
     broken = at_most < MIN_REPORTED_SHARE
--- a/tests/scale_fleet/lines.py
+++ b/tests/scale_fleet/lines.py
@@ -1,7 +1,7 @@
-"""What discovery's lines are in bytes: in the steady state, for a burst of changes and for a whole list.
+"""The bytes of discovery's lines: in the steady state, for a burst of changes and for a full list.
 
-Bytes are of IP, both ways: a segment's headers and its acknowledgement count as control traffic.
-The budget is no link's speed. What is over it comes all the same, only dearer than was planned.
+Bytes are counted at the IP level in both directions, with headers and acknowledgements. The budget is a
+planned cost, not a link speed: traffic beyond it still arrives.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S
 
-BUDGET_BYTES_S = 13_000.0  # a sidecar's, for control
-MACHINES = 14  # of the control plane
-LINK_BYTES_S = 125e6  # assumed of each: 1 Gbit/s
-ROW_BYTES = 146  # of a server in discovery's JSON, as measured
+BUDGET_BYTES_S = 13_000.0  # of control traffic per sidecar
+MACHINES = 14  # machines of the control plane
+LINK_BYTES_S = 125e6  # assumed for each machine: 1 Gbit/s
+ROW_BYTES = 146  # of a server in discovery's JSON
 FRAME_BYTES = 55 + 8  # of a line: revision, brackets, and the chunk's size
 HEADER_BYTES, ACK_BYTES, SEGMENT_BYTES = 52, 52, 1448  # IP and TCP, with time stamps
 CHANGES_S = 22_000 / 86_400
@@ -23,7 +23,7 @@
 
 
 def line_bytes(rows: int) -> int:
-    """Of one line, both ways."""
+    """IP bytes of one line, in both directions."""
     body = FRAME_BYTES + ROW_BYTES * rows if rows else len(b"1\r\n\n\r\n")
     return body + (HEADER_BYTES + ACK_BYTES) * ceil(body / SEGMENT_BYTES)
 
@@ -37,7 +37,7 @@
 
 
 def steady(size: int, changes_s: float, seed: int, for_s: float = 3600.0) -> Steady:
-    """Watches held: a line for each change, and an empty one after each 2 s with none."""
+    """Open watches: a line for each change, and an empty one after each 2 s without a change."""
     draw = random.Random(seed)
     now = total = 0.0
     lines = 0
@@ -52,14 +52,14 @@
 
 
 class Burst(NamedTuple):
-    """Rows told to one sidecar and to all."""
+    """The cost of sending rows to one sidecar and to all."""
 
     size: int
     rows: int
     lines: int
     bytes: int  # a sidecar
-    budget_s: float  # until that is within the budget
-    link_s: float  # of discovery's machines, all together: to tell it to `listeners`
+    budget_s: float  # of the byte budget
+    link_s: float  # time on the links of all machines, for all `listeners`
 
 
 def burst(size: int, rows: int, lines: int, listeners: int) -> Burst:
@@ -70,11 +70,11 @@
 
 
 def zone_rows(size: int) -> int:
-    """Gone, and back within a second."""
+    """Rows of a zone whose servers go and return within a second."""
     return 2 * ceil(size / ZONES)
 
 
 def rows_missed(size: int, for_s: float, changes_s: float = CHANGES_S) -> int:
-    """Rows of a change since an old revision: of a server that changed more than once only the last."""
+    """Rows in a change since an old revision, with one row for each changed server."""
     unchanged: float = (1 - 1 / size) ** (changes_s * for_s)
     return round(size * (1 - unchanged))
--- a/tests/scale_fleet/list_cost.py
+++ b/tests/scale_fleet/list_cost.py
@@ -1,4 +1,4 @@
-"""What the real sidecar spends of a core on discovery's lines, from their bytes to the module's draw."""
+"""CPU cost of discovery's lines in the real sidecar, from their bytes to the balancer's selection."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from tests.net import member, member_list, write_config
 from tests.scale_fleet.lines import ZONES
 
-PIECES = 1448, 65536  # of a list, as it is read: a segment at a time, and as much as the kernel holds
+PIECES = 1448, 65536  # bytes per read: a TCP segment, and a full read buffer
 ROUNDS = 20
 
 
 class ListCost(NamedTuple):
-    """Milliseconds of a core."""
+    """Milliseconds of CPU time."""
 
     size: int
     row_bytes: float
-    read_segments_ms: float  # the whole list's lines
+    read_segments_ms: float  # decoding the full list
     read_chunks_ms: float
-    whole_ms: float  # the whole list in force
+    whole_ms: float  # applying the full list
     line_ms: float  # a change of one server
     zone_ms: float  # a change of a zone's servers, on one line
 
@@ -74,7 +74,7 @@
 
 
 def measure(size: int) -> ListCost:
-    """Of a core that others use, too; a median, and no two runs are the same."""
+    """Medians on a shared machine, so they vary between runs."""
     logging.disable(logging.INFO)
     try:
         with TemporaryDirectory() as folder:
--- a/tests/scale_fleet/simulation.py
+++ b/tests/scale_fleet/simulation.py
@@ -1,8 +1,8 @@
-"""The course of many sidecars' watches on a virtual clock: when they call is decided by the real CallClock.
+"""Simulates the watches of many sidecars on a virtual clock, with the real `CallSchedule` timing their calls.
 
-The course itself (`Watch.run`: call, hold, pause) is written again here, as tens of thousands of real watches
-would take hours; `watches.py` plays real ones against the same stand-in, and the tests hold the two together.
-A sidecar whose watch stands is not played, its empty lines cost nothing here; `lines.py` has them.
+`Watch.run` (call, hold, pause) is reimplemented here, as tens of thousands of real watches would take hours.
+`watches.py` runs real ones against the same simulated discovery, and the tests compare the two. A sidecar
+with an open watch is not simulated: the cost of its empty lines is in `lines.py`.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 from anisespool.discovery.clock import HEARTBEAT_INTERVAL_S, CallSchedule
 from anisespool.discovery.deadline import CallFailure
-from tests.scale_fleet.discovery import StandIn, Timeline
+from tests.scale_fleet.discovery import SimulatedDiscovery, Timeline
 
 ASK_WITHIN_S = 10.0  # as in the settings of the tests
-HORIZON_S = {True: 60.0, False: 240.0}  # after the return, by whether refusals cost: longer is as never
-BEFORE_S = 20.0  # of a long cut: by then the pauses have grown to their longest
+HORIZON_S = {True: 60.0, False: 240.0}  # after the return, by `refusals_cost`; anything later is never
+MAX_SIMULATED_DOWN_S = 20.0  # enough for pauses to reach their maximum
 
 
 class Start(Enum):
-    """What set the calls off."""
+    """What triggers the calls."""
 
     ENDED = "all watches end at once"
     SILENT = "all watches fall silent, and calls hang"
@@ -33,13 +33,13 @@
     NEW = "sidecars start at once, without a list"
 
 
-class Play(NamedTuple):
+class Params(NamedTuple):
     callers: int
     fleet_size: int
-    per_s: float  # what discovery works off
+    per_s: float  # calls a second that discovery serves
     refusals_cost: bool
     start: Start = Start.ENDED
-    down_s: float = 0.0  # discovery is back so long after the start
+    down_s: float = 0.0  # from the start until discovery is back
 
     @property
     def hangs(self) -> bool:
@@ -47,10 +47,10 @@
 
 
 class Recovery(NamedTuple):
-    """Times from when discovery could be reached; infinite where not so many were told by the horizon."""
+    """Times count from when discovery was reachable; infinite if too few were updated by the horizon."""
 
-    play: Play
-    told: int
+    params: Params
+    updated: int
     p99_s: float
     last_s: float
     calls: int  # after discovery was back
@@ -59,11 +59,11 @@
 
 
 class _Sidecar:
-    __slots__ = ("clock", "fleet", "told_at")
+    __slots__ = ("clock", "fleet", "updated_at")
 
     def __init__(self, fleet: _Fleet) -> None:
-        self.fleet, self.told_at = fleet, -1.0
-        self.clock = CallSchedule(fleet.play.fleet_size, ASK_WITHIN_S, fleet.times.time())
+        self.fleet, self.updated_at = fleet, -1.0
+        self.clock = CallSchedule(fleet.params.fleet_size, ASK_WITHIN_S, fleet.times.time())
 
     def call_in(self, delay_s: float) -> None:
         self.fleet.times.call_at(self.fleet.times.time() + delay_s, self.call)
@@ -84,8 +84,8 @@
     def answered(self) -> bool:
         was_open, self._open = self._open, False
         if was_open:
-            self._sidecar.told_at = self._sidecar.fleet.times.time()
-            self._sidecar.fleet.told += 1
+            self._sidecar.updated_at = self._sidecar.fleet.times.time()
+            self._sidecar.fleet.updated += 1
         return was_open
 
     def failed(self) -> None:
@@ -103,30 +103,30 @@
 
 
 class _Fleet:
-    def __init__(self, play: Play) -> None:
-        self.play, self.times = play, Timeline()
-        self.discovery = StandIn(self.times, play.per_s, play.refusals_cost, play.hangs)
-        self.told = self.failed = 0
-        self.sidecars = [_Sidecar(self) for _ in range(play.callers)]
+    def __init__(self, params: Params) -> None:
+        self.params, self.times = params, Timeline()
+        self.discovery = SimulatedDiscovery(self.times, params.per_s, params.refusals_cost, params.hangs)
+        self.updated = self.failed = 0
+        self.sidecars = [_Sidecar(self) for _ in range(params.callers)]
 
     def run(self, horizon_s: float) -> Recovery:
-        play, back_s = self.play, min(self.play.down_s, BEFORE_S)
+        params, back_s = self.params, min(self.params.down_s, MAX_SIMULATED_DOWN_S)
         for sidecar in self.sidecars:
-            sidecar.call_in(_first_call(sidecar.clock, play.start))
+            sidecar.call_in(_first_call_delay(sidecar.clock, params.start))
         if back_s > 0:
             self.discovery.up = False
             self.times.call_at(back_s, self._back)
-        self.times.run(back_s + horizon_s, lambda: self.told == play.callers)
+        self.times.run(back_s + horizon_s, lambda: self.updated == params.callers)
         after = {at: count for at, count in self.discovery.calls.items() if at >= int(back_s)}
-        times = [s.told_at - back_s for s in self.sidecars if s.told_at >= 0]
-        return Recovery(play, self.told, *late(times, play.callers), sum(after.values()), self.failed,
-                        max(after.values(), default=0))  # fmt: skip
+        times = [s.updated_at - back_s for s in self.sidecars if s.updated_at >= 0]
+        return Recovery(params, self.updated, *p99_and_last(times, params.callers), sum(after.values()),
+                        self.failed, max(after.values(), default=0))  # fmt: skip
 
     def _back(self) -> None:
         self.discovery.up = True
 
 
-def _first_call(clock: CallSchedule, start: Start) -> float:
+def _first_call_delay(clock: CallSchedule, start: Start) -> float:
     if start is Start.SILENT:
         clock.line_received(-random.uniform(0.0, HEARTBEAT_INTERVAL_S))
         return clock.renewal_at()
@@ -135,8 +135,8 @@
     return clock.start_delay(start is Start.RESTARTED)
 
 
-def late(times: list[float], count: int) -> tuple[float, float]:
-    """The time by which 99 in 100 of so many were told, and by which all were."""
+def p99_and_last(times: list[float], count: int) -> tuple[float, float]:
+    """The times by which 99 % of `count` sidecars, and all of them, were updated."""
     histogram = HdrHistogram(1, 3_600_000, 3)
     for time_s in times:
         histogram.record_value(max(1, round(time_s * 1000)))
@@ -145,17 +145,17 @@
             max(times) if len(times) == count else float("inf"))  # fmt: skip
 
 
-def recover(play: Play, seed: int, horizon_s: float = 0.0) -> Recovery:
+def recover(params: Params, seed: int, horizon_s: float = 0.0) -> Recovery:
     with seeded(seed):
-        return _Fleet(play).run(horizon_s or HORIZON_S[play.refusals_cost])
+        return _Fleet(params).run(horizon_s or HORIZON_S[params.refusals_cost])
 
 
-def capacity_needed(play: Play, within_s: float, seed: int) -> float:
-    """Calls a second with which all are told in time, by halving; to 5 %."""
-    low, high = play.callers / (2 * within_s), 2.0 * play.callers
+def capacity_needed(params: Params, within_s: float, seed: int) -> float:
+    """Calls a second needed for all to be updated in time, by bisection to within 5 %."""
+    low, high = params.callers / (2 * within_s), 2.0 * params.callers
     while high > 1.05 * low:
         middle = (low * high) ** 0.5
-        if recover(play._replace(per_s=middle), seed, within_s).told == play.callers:
+        if recover(params._replace(per_s=middle), seed, within_s).updated == params.callers:
             high = middle
         else:
             low = middle
@@ -164,7 +164,7 @@
 
 @contextmanager
 def seeded(seed: int) -> Iterator[None]:
-    """CallClock draws from the module's generator."""
+    """Seed the generator of the module `random`, from which `CallSchedule` draws."""
     state = random.getstate()
     random.seed(seed)
     try:
--- a/tests/scale_fleet/tables.py
+++ b/tests/scale_fleet/tables.py
@@ -1,4 +1,4 @@
-"""Figures as rows: of a scenario, at a size of the fleet, with the bounds that they break."""
+"""Figures as table rows: per scenario and fleet size, with the bounds that they exceed."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from math import isfinite, isnan
 from typing import NamedTuple
 
-FRESH_S = 6.0  # a fresh list in force, from when discovery can be reached
-CHANGE_S = 10.0  # a change in force everywhere
+FRESH_S = 6.0  # until a fresh list is applied, from when discovery is reachable
+CHANGE_S = 10.0  # until a change is applied everywhere
 
 
 class Row(NamedTuple):
@@ -16,11 +16,11 @@
     case: str
     size: int
     figures: dict[str, float]
-    broken: str = ""  # which bound
+    broken: str = ""  # the bounds exceeded
 
 
 def over(bounds: dict[str, bool]) -> str:
-    """The names of those that are broken."""
+    """The names of the exceeded bounds."""
     return ", ".join(name for name, broken in bounds.items() if broken)
 
 
@@ -33,7 +33,7 @@
 
 
 def text(rows: Iterable[Row]) -> str:
-    """A table a case, and below each by which size its bound breaks."""
+    """One table for each case."""
     out = []
     for (scenario, case), group in groupby(rows, key=lambda row: row[:2]):
         listed = list(group)
@@ -47,7 +47,7 @@
 
 
 def first_broken(rows: Iterable[Row]) -> dict[str, int | None]:
-    """Of each case that has a bound to break, the smallest size at which it does."""
+    """For each case the smallest size at which a bound is exceeded, if any."""
     first: dict[str, int | None] = {}
     for row in sorted(rows, key=lambda row: row.size):
         name = f"{row.scenario} {row.case}"
--- a/tests/scale_fleet/tenants.py
+++ b/tests/scale_fleet/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants' rates as sidecars pass them on: real `Quotas`, real bytes, and how many others each hears of."""
+"""Spread of tenants' rates between sidecars: real `Quotas`, real bytes, and how many reports each gets."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from tests.scale_fleet.datagrams import HEADER_BYTES
 from tests.support import settings
 
-RATE = 10.0  # each tenant's, at each sidecar: all alike, so that the fleet's sum is known
+RATE = 10.0  # of each tenant at each sidecar; equal, so that the fleet's sum is known
 START_MS = 1 << 20
 
 
-class Told(NamedTuple):
+class ReportSpread(NamedTuple):
     size: int
     tenants: int
     reports: int  # in a datagram
     bytes_s: float  # sent by a sidecar
-    few_s: float  # until half of the sidecars have heard of FEW of the others; infinite: never
-    heard: float  # part of the others that a sidecar has fresh reports of, at the end; the mean
+    few_s: float  # until half of the sidecars have enough reports; infinite if never
+    heard: float  # mean share of the others with a fresh report at the end
 
 
-def spread(size: int, tenants: int, seed: int, for_s: float = REPORT_LIFETIME_NS / 1e9 + 0.5) -> Told:
-    """Tenants are near their quotas from the start: `Tenants.send_reports`, each TELL_NS to one other."""
+def spread(size: int, tenants: int, seed: int, for_s: float = REPORT_LIFETIME_NS / 1e9 + 0.5) -> ReportSpread:
+    """All tenants are near their quotas, so each sidecar reports to one other per REPORT_INTERVAL_NS."""
     draw = random.Random(seed)
     rows = [{"share": 1.0, "quota-per-s": RATE * size}] * tenants
     fleet = [Quotas(settings(fleet_size=size, tenants=rows)._replace(self_index=n)) for n in range(size)]
@@ -54,6 +54,6 @@
             knows.add(peer)
             few_s = min(few_s, now / 1e9) if len(knows) * 2 >= size else few_s
     heard = [len(each.fresh_reports(int(for_s * 1e9))) / (size - 1) for each in fleet[:500]]
-    return Told(
+    return ReportSpread(
         size, tenants, most, size_sum / sent * 1e9 / REPORT_INTERVAL_NS, few_s, sum(heard) / len(heard)
     )
--- a/tests/scale_fleet/test_scale_fleet.py
+++ b/tests/scale_fleet/test_scale_fleet.py
@@ -1,7 +1,7 @@
-"""The quick form of the scale tests: what must hold in a fleet of 200, and that the figures can be trusted.
+"""The quick form of the scale tests: checks a fleet of 200, and the simulation itself.
 
-Real processes are held against the simulated ones in the full form only (`python -m tests.scale_fleet`), as
-their start alone takes the time that all of these have. Here real watches are, on a virtual clock.
+Real processes are compared with the simulation only in the full form (`python -m tests.scale_fleet`), as
+starting them takes too long here. This form compares real watches on a virtual clock.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 import pytest
 
 from anisespool.peers import MAX_DATAGRAM_BYTES
-from tests.scale_fleet import collisions, course, datagrams, gossip_scenarios, lines, scenarios, watches
-from tests.scale_fleet.agreement import WITHIN
-from tests.scale_fleet.course import Play, Start
-from tests.scale_fleet.discovery import QUEUE_S, StandIn, Timeline
+from tests.scale_fleet import collisions, datagrams, gossip_scenarios, lines, scenarios, simulation, watches
+from tests.scale_fleet.agreement import TOLERANCE
+from tests.scale_fleet.discovery import MAX_QUEUE_S, SimulatedDiscovery, Timeline
 from tests.scale_fleet.list_cost import row
+from tests.scale_fleet.simulation import Params, Start
 from tests.scale_fleet.tables import FRESH_S, Row
 
 PLANNED = 9100
 
 
-def played(seed: int) -> list[Row]:
-    """Each scenario at a small size."""
+def small_scenarios(seed: int) -> list[Row]:
+    """The rows of each scenario at a small size."""
     one = scenarios.CAPACITIES[0]
-    plays = [scenarios.outage(200, seed, one, costs) for costs in (True, False)]
-    for play_of in (scenarios.steady, scenarios.answers, scenarios.lost, scenarios.restarts, scenarios.region,
-                    gossip_scenarios.talk, gossip_scenarios.ejections):  # fmt: skip
-        plays.append(play_of(200, seed))
-    plays.append(gossip_scenarios.rates(20, seed, 8))
-    return [row for rows in plays for row in rows]
-
-
-def test_one_seed_gives_one_set_of_figures_and_another_seed_others() -> None:
-    first = played(3)
-    assert first == played(3)
-    differ = {a.scenario for a, b in zip(first, played(4), strict=True) if a != b}
+    row_lists = [scenarios.outage(200, seed, one, costs) for costs in (True, False)]
+    for make_rows in (scenarios.steady, scenarios.answers, scenarios.lost, scenarios.restarts,
+                      scenarios.region, gossip_scenarios.talk, gossip_scenarios.ejections):  # fmt: skip
+        row_lists.append(make_rows(200, seed))
+    row_lists.append(gossip_scenarios.rates(20, seed, 8))
+    return [row for rows in row_lists for row in rows]
+
+
+def test_figures_depend_on_the_seed_alone() -> None:
+    first = small_scenarios(3)
+    assert first == small_scenarios(3)
+    differ = {a.scenario for a, b in zip(first, small_scenarios(4), strict=True) if a != b}
     drawn = ("a. steady", "b. all watches", "c. a zone's", "f. a region back", "g. sightings", "g. verdict")
     assert all(any(name.startswith(start) for name in differ) for start in drawn), differ
 
@@ -47,22 +47,22 @@
 def test_after_an_outage_200_sidecars_have_a_fresh_list_within_6_s(
     start: Start, down_s: float, costs: bool
 ) -> None:
-    """With discovery that works off 80 calls a second. Refused calls that come again too soon."""
+    """Discovery serves 80 calls a second. Retrying refused calls too soon would break this."""
     for seed in range(3):
-        it = course.recover(Play(200, 200, 80.0, costs, start, down_s), seed)
-        assert it.told == 200 and it.last_s <= FRESH_S, it
+        it = simulation.recover(Params(200, 200, 80.0, costs, start, down_s), seed)
+        assert it.updated == 200 and it.last_s <= FRESH_S, it
 
 
 def test_200_real_watches_have_a_fresh_list_within_6_s() -> None:
-    _, last_s = watches.recover(Play(200, 200, 80.0, True, down_s=8.0), 1)
+    _, last_s = watches.recover(Params(200, 200, 80.0, True, down_s=8.0), 1)
     assert last_s <= FRESH_S
 
 
-@pytest.mark.parametrize("play", [Play(20, 20, 8.0, True), Play(20, 20, 4.0, False, down_s=8.0)])
-def test_the_simulated_course_takes_as_long_as_real_watches(play: Play) -> None:
-    real_s = statistics.median(watches.recover(play, seed)[1] for seed in range(5))
-    simulated_s = statistics.median(course.recover(play, seed).last_s for seed in range(20))
-    assert abs(real_s - simulated_s) <= WITHIN * real_s
+@pytest.mark.parametrize("params", [Params(20, 20, 8.0, True), Params(20, 20, 4.0, False, down_s=8.0)])
+def test_the_simulation_takes_as_long_as_real_watches(params: Params) -> None:
+    real_s = statistics.median(watches.recover(params, seed)[1] for seed in range(5))
+    simulated_s = statistics.median(simulation.recover(params, seed).last_s for seed in range(20))
+    assert abs(real_s - simulated_s) <= TOLERANCE * real_s
 
 
 class _Waiting:
@@ -78,25 +78,25 @@
 
 
 @pytest.mark.parametrize("costs, refused_at", [(True, [4.0, 5.0]), (False, [3.0, 3.0])])
-def test_the_stand_in_works_off_in_turn_and_refuses_what_has_waited_too_long(
+def test_the_simulated_discovery_serves_in_order_and_refuses_calls_that_waited_too_long(
     costs: bool, refused_at: list[float]
 ) -> None:
     times = Timeline()
-    stand_in, calls = StandIn(times, 1.0, costs), [_Waiting(times) for _ in range(5)]
+    simulated_discovery, calls = SimulatedDiscovery(times, 1.0, costs), [_Waiting(times) for _ in range(5)]
     for call in calls:
-        stand_in.call(call)
+        simulated_discovery.call(call)
     times.run(100.0, lambda: False)
-    assert [call.answered_at for call in calls] == [1.0, 2.0, QUEUE_S + 1.0, 0.0, 0.0]
+    assert [call.answered_at for call in calls] == [1.0, 2.0, MAX_QUEUE_S + 1.0, 0.0, 0.0]
     assert [call.failed_at for call in calls[3:]] == refused_at
 
 
-def test_held_watches_and_talk_are_within_the_budget_at_the_planned_size() -> None:
-    watched, talked = lines.steady(PLANNED, lines.CHANGES_S, 1), datagrams.talk(PLANNED, 1)
-    assert watched.bytes_s + talked.sent_bytes + talked.heard_most_bytes <= lines.BUDGET_BYTES_S
+def test_open_watches_and_peer_messages_are_within_the_budget_at_the_planned_size() -> None:
+    watched, exchanged = lines.steady(PLANNED, lines.CHANGES_S, 1), datagrams.talk(PLANNED, 1)
+    assert watched.bytes_s + exchanged.sent_bytes + exchanged.heard_most_bytes <= lines.BUDGET_BYTES_S
     assert all(size - datagrams.HEADER_BYTES <= MAX_DATAGRAM_BYTES for size in datagrams.sizes())
 
 
-def test_a_rows_bytes_are_those_of_a_made_list() -> None:
+def test_the_bytes_of_a_row_match_a_generated_list() -> None:
     made = [len(json.dumps(row(n))) + 2 for n in range(0, PLANNED, 100)]
     assert abs(statistics.mean(made) - lines.ROW_BYTES) <= 0.1 * lines.ROW_BYTES
 
--- a/tests/scale_fleet/virtual.py
+++ b/tests/scale_fleet/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock stands at the next timer: real asyncio code runs through hours in seconds."""
+"""An event loop whose clock jumps to the next timer, so that asyncio code runs hours in seconds."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 
-class _Jumps(selectors.BaseSelector):
-    """No socket is ever ready; to wait for one is to let the time pass."""
+class _JumpingSelector(selectors.BaseSelector):
+    """A selector with no ready sockets; waiting advances the virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -25,7 +25,7 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("nothing is due any more, and something still waits")
+            raise RuntimeError("deadlock: no timer is scheduled, but a task is still waiting")
         self.now += max(0.0, timeout)
         return []
 
@@ -35,11 +35,11 @@
 
 class VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.jumps = _Jumps()
-        super().__init__(self.jumps)
+        self.jumping_selector = _JumpingSelector()
+        super().__init__(self.jumping_selector)
 
     def time(self) -> float:
-        return self.jumps.now
+        return self.jumping_selector.now
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
--- a/tests/scale_path/__main__.py
+++ b/tests/scale_path/__main__.py
@@ -1,7 +1,7 @@
-"""The data path's figures: `python -m tests.scale_path [--rate 187] [--seconds 15] [--json FILE]`.
+"""Measures the data path: `python -m tests.scale_path [--rate 187] [--seconds 15] [--json FILE]`.
 
-It prints tables: what a call takes direct and through one sidecar, processor time a call, calls/s at which a
-core is full, and what longer lists and changes of them cost."""
+Prints tables of latency direct and through one sidecar, CPU time per call, the calls/s that saturate a core,
+and the cost of longer lists and of list changes."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from statistics import median
 from typing import Any
 
-from tests.scale_path.figures import Group, Run, dump, run_of, yardstick_ms
+from tests.scale_path.figures import Group, Run, dump, make_run, yardstick_ms
 from tests.scale_path.generator import Result
 from tests.scale_path.sidecar import FLEET, Setting, SidecarUnderLoad, sidecar
 from tests.scale_path.tables import direct_and_through, lists, rates
 
-SETTLE_S = 8.0  # of calls before those that count
-FIRST_LIST_S = 4.0  # for a long first list, on a busy machine
+SETTLE_S = 8.0  # warm-up calls before each measured run
+FIRST_LIST_S = 4.0  # for applying a long first list on a busy machine
 LISTED = (15, 200, 910, 2_275, FLEET)
-SHARES = (0.27, 0.5, 1.0, 2.0, 4.0)  # of the rate to plan for: 50, 94, 187, 374 and 748 calls/s
-LOOK_S = 0.5  # between two looks at how fast the cores are
+RATE_FACTORS = (0.27, 0.5, 1.0, 2.0, 4.0)  # of the planned rate: 50, 94, 187, 374 and 748 calls/s
+SPEED_SAMPLE_S = 0.5  # between measurements of the cores' speed
 PARTS = ("main", "rates", "lists", "changes")
 Calls = Callable[[float, float, int, str], Awaitable[Result]]
 
@@ -35,53 +35,53 @@
         self._peers, self._seed = peers, 0
         self.groups: list[Group] = []
 
-    async def both(self, car: SidecarUnderLoad, idle_share: float) -> tuple[Group, Group]:
-        """Direct (what the generator, the order servers and this machine cost) and through, run by run in
-        turn: what else the machine does in the meantime falls on both."""
+    async def measure_both(self, car: SidecarUnderLoad, idle_share: float) -> tuple[Group, Group]:
+        """Direct runs (the cost of generator, order servers and machine) and runs through the sidecar, in
+        alternation, so that other load on the machine affects both."""
         direct, through = Group("direct", self.rate, []), Group("through", self.rate, [], idle_share)
         await self._settle(car, self.rate)
         for _ in range(self.runs):
             direct.runs.append(await self._run(car, car.direct, self.rate))
             await self._settle(car, self.rate)
             through.runs.append(await self._run(car, car.through, self.rate))
-        return self._keep(direct), self._keep(through)
+        return self._add_group(direct), self._add_group(through)
 
     async def through(self, car: SidecarUnderLoad, name: str, rate: float, idle_share: float) -> Group:
         await self._settle(car, rate)
         runs = [await self._run(car, car.through, rate) for _ in range(self.runs)]
-        return self._keep(Group(name, rate, runs, idle_share))
+        return self._add_group(Group(name, rate, runs, idle_share))
 
     async def _settle(self, car: SidecarUnderLoad, rate: float) -> None:
-        """Each server in the draw has its connection then."""
-        await car.through(rate, min(SETTLE_S, self.seconds), self._next(), self.arrivals)
+        """Warm up, until each server that may be selected has its connections."""
+        await car.through(rate, min(SETTLE_S, self.seconds), self._next_seed(), self.arrivals)
 
     async def _run(self, car: SidecarUnderLoad, calls: Calls, rate: float) -> Run:
-        before, revision, speeds = car.used(), car.told.revision, list[float]()
+        before, revision, speeds = car.usage(), car.discovery.revision, list[float]()
         watched = asyncio.create_task(_watch_speed(speeds))
-        result = await calls(rate, self.seconds, self._next(), self.arrivals)
+        result = await calls(rate, self.seconds, self._next_seed(), self.arrivals)
         watched.cancel()
-        used, changes = car.used().since(before), car.told.revision - revision
-        return run_of(result, used, changes, median(speeds))
+        usage, changes = car.usage().since(before), car.discovery.revision - revision
+        return make_run(result, usage, changes, median(speeds))
 
     async def idle_share(self, car: SidecarUnderLoad) -> float:
-        """Of a core, over as long as a run. Taking up the first list is no part of it."""
+        """Share of a core when idle, over the length of a run, after the first list was applied."""
         await asyncio.sleep(FIRST_LIST_S)
-        before = car.used()
+        before = car.usage()
         await asyncio.sleep(self.seconds)
-        return car.used().since(before).share
+        return car.usage().since(before).share
 
     async def main(self, with_rates: bool) -> None:
-        """15 servers, direct and through; and at other rates."""
+        """15 servers, direct and through the sidecar, and at other rates."""
         with tempfile.TemporaryDirectory() as folder:
             async with sidecar(Path(folder), Setting(peers=self._peers)) as car:
                 idle = await self.idle_share(car)
-                direct, through = await self.both(car, idle)
+                direct, through = await self.measure_both(car, idle)
                 print(direct_and_through(direct, through), flush=True)
                 if with_rates:
                     others = [
                         through if share == 1 else
                         await self.through(car, f"{share * self.rate:.0f}/s", share * self.rate, idle)
-                        for share in SHARES
+                        for share in RATE_FACTORS
                     ]  # fmt: skip
                     print(rates(others), flush=True)
 
@@ -105,11 +105,11 @@
                 idle = await self.idle_share(car)
                 return await self.through(car, name, self.rate, idle)
 
-    def _next(self) -> int:
+    def _next_seed(self) -> int:
         self._seed += 1
         return self._seed
 
-    def _keep(self, group: Group) -> Group:
+    def _add_group(self, group: Group) -> Group:
         self.groups.append(group)
         return group
 
@@ -117,7 +117,7 @@
 async def _watch_speed(speeds: list[float]) -> None:
     while True:
         speeds.append(yardstick_ms())
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(SPEED_SAMPLE_S)
 
 
 def load() -> str:
@@ -127,11 +127,11 @@
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m tests.scale_path", description=__doc__)
     parser.add_argument("--rate", type=float, default=187.0, help="calls/s of one sidecar")
-    parser.add_argument("--seconds", type=float, default=15.0, help="of each run")
+    parser.add_argument("--seconds", type=float, default=15.0, help="length of each run")
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--arrivals", choices=("poisson", "fixed"), default="poisson")
-    parser.add_argument("--peers", action="store_true", help="datagrams to the fleet's other sidecars")
-    parser.add_argument("--part", choices=PARTS, action="append", help="only these; all without")
+    parser.add_argument("--peers", action="store_true", help="send datagrams to the fleet's other sidecars")
+    parser.add_argument("--part", choices=PARTS, action="append", help="run only these parts (default: all)")
     parser.add_argument("--json", type=Path, help="all figures, as JSON")
     args = parser.parse_args()
     bench = Bench(args.rate, args.seconds, args.runs, args.arrivals, args.peers)
@@ -147,7 +147,7 @@
         print(loads, flush=True)
         if args.json:
             args.json.write_text(dump(bench.groups, loads=loads))
-    return 0 if not any(group.lost() for group in bench.groups) else 1
+    return 0 if not any(group.faults() for group in bench.groups) else 1
 
 
 if __name__ == "__main__":
--- a/tests/scale_path/figures.py
+++ b/tests/scale_path/figures.py
@@ -1,4 +1,4 @@
-"""From calls to figures: quantiles, processor time a call, and the line through it."""
+"""Computes figures from calls: quantiles, CPU time per call, and a linear fit."""
 
 from __future__ import annotations
 
@@ -16,26 +16,25 @@
 
 QUANTILES = (10.0, 50.0, 99.0, 99.9)
 SPAN_NS, ON_TIME_NS = 100_000_000, 100_000  # see calm()
-YARDSTICK = 20_000  # passes of a loop
-Row = tuple[int, int, int, int, bool, int]  # of a Result
-LEAST_NS, MOST_NS, DIGITS = 1_000, 10_000_000_000, 3
-LATE, TOOK, THERE, BACK, FIRST, PLANNED = range(6)  # of a row
+YARDSTICK = 20_000  # loop iterations
+Row = tuple[int, int, int, int, bool, int]  # see Result.rows
+HISTOGRAM_MIN_NS, HISTOGRAM_MAX_NS, HISTOGRAM_DIGITS = 1_000, 10_000_000_000, 3
+SEND_DELAY, LATENCY, TO_SERVER, FROM_SERVER, FIRST_ON_CONNECTION, PLANNED_AT = range(6)  # positions in a Row
 
 
 def quantiles_ms(values: Iterable[int]) -> list[float]:
-    """Those of QUANTILES, to three digits; of no values, none is a number."""
-    histogram = HdrHistogram(LEAST_NS, MOST_NS, DIGITS)
+    """The QUANTILES, to three digits; nan if there are no values."""
+    histogram = HdrHistogram(HISTOGRAM_MIN_NS, HISTOGRAM_MAX_NS, HISTOGRAM_DIGITS)
     for value in values:
-        histogram.record_value(max(LEAST_NS, value))
+        histogram.record_value(max(HISTOGRAM_MIN_NS, value))
     if not histogram.get_total_count():
         return [nan] * len(QUANTILES)
     return [histogram.get_value_at_percentile(q) / 1e6 for q in QUANTILES]
 
 
 def yardstick_ms() -> float:
-    """Processor time of a fixed piece of work, in Python as the sidecar is. On cores that other
-    machines share, the same work takes several times the processor time; figures of two moments are to be
-    compared by it."""
+    """CPU time of a fixed piece of Python work. On cores shared with other machines the same work can take
+    several times the CPU time, so figures taken at different times are compared relative to it."""
     began, total = thread_time(), 0
     for n in range(YARDSTICK):
         total += n & 7
@@ -43,36 +42,36 @@
 
 
 def calm(rows: list[Row]) -> list[Row]:
-    """The calls of those tenths of a second in which all were sent on time. The generator's own delays tell
-    when the machine had no core for whoever wanted one, and know nothing of what becomes of a call."""
-    late = {row[PLANNED] // SPAN_NS for row in rows if row[LATE] > ON_TIME_NS}
-    return [row for row in rows if row[PLANNED] // SPAN_NS not in late]
+    """The calls of those tenths of a second in which all were sent on time. The generator's own delays show
+    when the machine was short of cores, and do not depend on how a call goes."""
+    late = {row[PLANNED_AT] // SPAN_NS for row in rows if row[SEND_DELAY] > ON_TIME_NS}
+    return [row for row in rows if row[PLANNED_AT] // SPAN_NS not in late]
 
 
-class Used(NamedTuple):
-    """Of a stretch of time, what a sidecar used and what the machine had: sums since the start, or what
-    passed between two looks."""
+class ResourceUsage(NamedTuple):
+    """Resource use of a sidecar and its machine: totals since the start, or differences between two
+    readings."""
 
     at_s: float = 0.0
-    cpu_s: float = 0.0  # processor time of the sidecar
-    waited_s: float = 0.0  # of its main thread, ready to run and without a core
-    machine_s: float = 0.0  # of all cores
+    cpu_s: float = 0.0  # CPU time of the sidecar
+    waited_s: float = 0.0  # main thread ready to run, but without a core
+    machine_s: float = 0.0  # over all cores
     idle_s: float = 0.0
-    stolen_s: float = 0.0  # by other machines of the host
+    stolen_s: float = 0.0  # taken by other virtual machines
 
-    def since(self, before: Used) -> Used:
-        return Used(*(now - then for now, then in zip(self, before, strict=True)))
+    def since(self, before: ResourceUsage) -> ResourceUsage:
+        return ResourceUsage(*(now - then for now, then in zip(self, before, strict=True)))
 
     @property
     def share(self) -> float:
-        """Of a core."""
+        """Share of one core."""
         return self.cpu_s / self.at_s
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run of a generator. `between`: of a call's time all but the order server's own, from send to
-    answer, so what the ways and whoever stands in them take."""
+    """One run of a generator. `between_ms`: a call's time from send to answer, less the order server's own,
+    which leaves that of the network and the sidecar."""
 
     planned: int
     counts: dict[str, int]
@@ -81,12 +80,12 @@
     between_ms: list[float]
     there_ms: list[float]
     back_ms: list[float]
-    new_share: float  # calls that were the first on the order server's connection
-    kept_ms: list[float]  # the time of the others
-    calm_ms: list[float]  # of calls in calm moments, see calm()
+    new_share: float  # share of calls that were the first on their server connection
+    kept_ms: list[float]  # latency of the others
+    calm_ms: list[float]  # latency in calm moments, see calm()
     calm_share: float
     worst_ms: float
-    used: Used  # over the run
+    used: ResourceUsage  # over the run
     list_changes: int
     yardstick_ms: float  # median over the run
 
@@ -95,22 +94,22 @@
         return self.counts.get("answered", 0)
 
 
-def run_of(result: Result, used: Used, list_changes: int, yardstick: float) -> Run:
+def make_run(result: Result, usage: ResourceUsage, list_changes: int, yardstick: float) -> Run:
     rows, still = result.rows, calm(result.rows)
     return Run(
         planned=result.planned,
         counts=result.counts,
-        late_ms=quantiles_ms(row[LATE] for row in rows),
-        took_ms=quantiles_ms(row[TOOK] for row in rows),
-        between_ms=quantiles_ms(row[THERE] + row[BACK] for row in rows),
-        there_ms=quantiles_ms(row[THERE] for row in rows),
-        back_ms=quantiles_ms(row[BACK] for row in rows),
-        new_share=sum(row[FIRST] for row in rows) / max(1, len(rows)),
-        kept_ms=quantiles_ms(row[TOOK] for row in rows if not row[FIRST]),
-        calm_ms=quantiles_ms(row[TOOK] for row in still),
+        late_ms=quantiles_ms(row[SEND_DELAY] for row in rows),
+        took_ms=quantiles_ms(row[LATENCY] for row in rows),
+        between_ms=quantiles_ms(row[TO_SERVER] + row[FROM_SERVER] for row in rows),
+        there_ms=quantiles_ms(row[TO_SERVER] for row in rows),
+        back_ms=quantiles_ms(row[FROM_SERVER] for row in rows),
+        new_share=sum(row[FIRST_ON_CONNECTION] for row in rows) / max(1, len(rows)),
+        kept_ms=quantiles_ms(row[LATENCY] for row in rows if not row[FIRST_ON_CONNECTION]),
+        calm_ms=quantiles_ms(row[LATENCY] for row in still),
         calm_share=len(still) / max(1, len(rows)),
-        worst_ms=max((row[TOOK] for row in rows), default=0) / 1e6,
-        used=used,
+        worst_ms=max((row[LATENCY] for row in rows), default=0) / 1e6,
+        used=usage,
         list_changes=list_changes,
         yardstick_ms=yardstick,
     )  # fmt: skip
@@ -118,7 +117,7 @@
 
 @dataclass(frozen=True)
 class Group:
-    """Runs of one kind. `idle_share`: of a core, what the sidecar uses with no calls."""
+    """Runs of one kind. `idle_share`: the share of a core that the idle sidecar uses."""
 
     name: str
     rate: float
@@ -126,22 +125,22 @@
     idle_share: float = 0.0
 
     def of(self, figure: Callable[[Run], float]) -> tuple[float, float, float]:
-        """Median, least and most."""
+        """Median, minimum and maximum."""
         values = [figure(run) for run in self.runs]
         return median(values), min(values), max(values)
 
     def cpu_ms(self, run: Run) -> float:
-        """Processor time a call, less what it costs to stand idle."""
+        """CPU time per call, less the idle cost."""
         return (run.used.cpu_s - self.idle_share * run.used.at_s) * 1e3 / max(1, run.answered)
 
     def machine(self) -> str:
-        """How much of the machine's cores was idle and stolen in the meantime."""
+        """The shares of the machine's cores that were idle and stolen during the runs."""
         idle = self.of(lambda run: 100 * run.used.idle_s / run.used.machine_s)
         stolen = self.of(lambda run: 100 * run.used.stolen_s / run.used.machine_s)
         return f"{idle[0]:.0f} / {stolen[0]:.0f}"
 
-    def lost(self) -> dict[str, int]:
-        """Calls and connections with which something was wrong."""
+    def faults(self) -> dict[str, int]:
+        """The counts of calls and connections with a fault."""
         found: dict[str, int] = {}
         for run in self.runs:
             for name, count in run.counts.items():
@@ -155,19 +154,19 @@
 
 @dataclass(frozen=True)
 class Line:
-    """Share of a core by calls/s, by least squares."""
+    """Share of a core as a linear function of calls/s."""
 
-    slope: float  # seconds a call
+    slope: float  # seconds per call
     base: float
-    deviation: float  # root mean square, of a core
+    deviation: float  # root mean square, as a share of a core
 
     @property
     def full_at(self) -> float:
-        """Calls/s at which one core is full."""
+        """The calls/s that saturate one core."""
         return (1 - self.base) / self.slope
 
 
-def fitted(points: list[tuple[float, float]]) -> Line:
+def fit_line(points: list[tuple[float, float]]) -> Line:
     x0, y0 = mean(x for x, _ in points), mean(y for _, y in points)
     slope = sum((x - x0) * (y - y0) for x, y in points) / sum((x - x0) ** 2 for x, _ in points)
     base = y0 - slope * x0
@@ -175,9 +174,9 @@
     return Line(slope, base, deviation)
 
 
-def line_of(groups: Iterable[Group]) -> Line:
-    """Each run is a point: what it used of a core, at the calls/s that it answered."""
-    return fitted([(r.answered / r.used.at_s, r.used.share) for g in groups for r in g.runs])
+def fit_groups(groups: Iterable[Group]) -> Line:
+    """The line through all runs: the share of a core used, by the calls/s answered."""
+    return fit_line([(r.answered / r.used.at_s, r.used.share) for g in groups for r in g.runs])
 
 
 def spread(values: tuple[float, float, float], digits: int = 2) -> str:
--- a/tests/scale_path/generator.py
+++ b/tests/scale_path/generator.py
@@ -1,10 +1,10 @@
-"""The load generator, a process of its own: calls at times planned ahead, whatever becomes of earlier ones.
+"""The load generator, a separate process: sends calls at planned times, without waiting for answers.
 
 `python -m tests.scale_path.generator PLAN` takes a Plan as JSON and prints a Result as JSON. A call's time
-runs from the planned moment, so a stall of whatever kind counts for all calls that it held up.
+runs from its planned time, so any stall counts for all calls that it delays.
 
-One thread: it waits with select() on the one descriptor of an epoll set, as time-outs of select() are exact
-to some 60 microseconds, those of epoll and so of asyncio to 1 ms."""
+A single thread waits with select() on the descriptor of an epoll set, as time-outs of select() are accurate
+to about 60 microseconds, those of epoll, and so of asyncio, to 1 ms."""
 
 from __future__ import annotations
 
@@ -21,36 +21,36 @@
 from tests.net import raw_call
 from tests.scale_path.order_servers import Body, decode
 
-EARLY_NS = 200_000  # before a planned moment it stops sleeping and looks again and again
-LEAD_NS = 50_000_000  # from the start to the first planned moment
-CLOSED, AGAIN = "closed between calls", "sent once more"
-ALLOWED = ("answered", "opened", CLOSED, AGAIN)  # all else that is counted is a fault
-PATIENCE_NS = 3_000_000_000  # past the last planned moment; a call has a deadline of 2 s
+SPIN_NS = 200_000  # busy-waits for so long before a planned time
+LEAD_NS = 50_000_000  # from the start to the first planned time
+CLOSED, RETRIED = "closed between calls", "sent once more"
+ALLOWED = ("answered", "opened", CLOSED, RETRIED)  # all other counts are faults
+ANSWER_TIMEOUT_NS = 3_000_000_000  # after the last planned time; calls have a deadline of 2 s
 
 
 @dataclass(frozen=True)
 class Plan:
-    ports: list[int]  # each call goes to one of them, drawn from the seed
+    ports: list[int]  # each call goes to one of them, chosen by the seed
     rate: float  # calls/s
     seconds: float
     seed: int
     arrivals: str = "poisson"  # or "fixed"
-    connections: int = 1  # opened ahead to each port; more come when all are busy
+    connections: int = 1  # opened in advance to each port; more if all are busy
 
 
 @dataclass
 class Result:
-    """`counts`: answered, and by name whatever else came of a call. `rows`, in ns, one a call answered: how
-    late it was sent, from plan to answer, to the order server, back from it, whether it was the first on the
-    order server's connection, and when it was planned, from the start."""
+    """`counts`: calls by outcome. `rows`: one for each answered call, with times in ns: delay of sending,
+    from planned time to answer, to the order server, back from it, whether it was the first on the server's
+    connection, and its planned time from the start."""
 
     planned: int
     counts: dict[str, int] = field(default_factory=dict)
     rows: list[tuple[int, int, int, int, bool, int]] = field(default_factory=list)
 
 
-def moments(plan: Plan) -> list[int]:
-    """The planned moments, in ns from the start."""
+def arrival_times(plan: Plan) -> list[int]:
+    """The planned send times, in ns from the start."""
     draw, at, found = random.Random(plan.seed), 0.0, list[int]()
     while True:
         at += draw.expovariate(plan.rate) if plan.arrivals == "poisson" else 1 / plan.rate
@@ -63,11 +63,11 @@
     def __init__(self, trace: str, port: int, planned_ns: int) -> None:
         self.trace, self.port, self.planned_ns = trace.encode(), port, planned_ns
         self.data = raw_call(trace=trace)
-        self.sent_ns = self.tries = 0
+        self.sent_ns = self.attempts = 0
 
 
 class Connection:
-    """One call at a time; the next one only on the whole answer to the one before."""
+    """Carries one call at a time; the next only after the complete answer to the previous one."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -77,20 +77,20 @@
         self.call: Call | None = None
         self.data = b""
 
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         poll = select.poll()
         poll.register(self.sock, select.POLLIN)
         return not poll.poll(0)
 
-    def disturbed(self) -> str:
-        """What came on it between calls: an end is allowed, an answer is one too many."""
+    def classify_input(self) -> str:
+        """The kind of input received between calls: a close is allowed, another answer is a fault."""
         try:
             return "second answer" if self.sock.recv(1) else CLOSED
         except OSError:
             return CLOSED
 
     def answer(self) -> tuple[int, bytes] | None:
-        """Status and body, once all of the answer has come."""
+        """Status and body, once the answer is complete."""
         head, found, body = self.data.partition(b"\r\n\r\n")
         if not found:
             return None
@@ -106,53 +106,55 @@
         self._start = start
         self._calls = [
             Call(f"{plan.seed:08x}{n:08x}", draw.choice(plan.ports), start + at)
-            for n, at in enumerate(moments(plan))
+            for n, at in enumerate(arrival_times(plan))
         ]
         self._idle = {p: [Connection(p) for _ in range(plan.connections)] for p in plan.ports}
         self._busy: dict[int, Connection] = {}
         self._poll = select.epoll()
         self._counts: Counter[str] = Counter()
         self._result = Result(len(self._calls))
-        shift = max(0, time.monotonic_ns() + LEAD_NS - start)  # opening all that took its time
+        shift = max(0, time.monotonic_ns() + LEAD_NS - start)  # the time that opening connections took
         self._start += shift
         for call in self._calls:
             call.planned_ns += shift
 
     def run(self) -> Result:
-        coming, end = iter(self._calls), self._calls[-1].planned_ns + PATIENCE_NS
-        call = next(coming, None)
+        remaining, end = iter(self._calls), self._calls[-1].planned_ns + ANSWER_TIMEOUT_NS
+        call = next(remaining, None)
         while (now := time.monotonic_ns()) < end and (call or self._busy):
             while call and call.planned_ns <= now:
-                self._begin(call, self._take(call.port))
-                call = next(coming, None)
-            until = call.planned_ns - EARLY_NS if call else end
+                self._begin(call, self._take_connection(call.port))
+                call = next(remaining, None)
+            until = call.planned_ns - SPIN_NS if call else end
             wait_s = max(0, until - time.monotonic_ns()) / 1e9
             if select.select([self._poll], [], [], wait_s)[0]:
                 for descriptor, _ in self._poll.poll(0):
                     self._read(self._busy[descriptor])
         self._counts["unanswered"] += len(self._busy)
         idle = (connection for port in self._idle for connection in self._idle[port])
-        self._counts.update(connection.disturbed() for connection in idle if not connection.is_quiet())
+        self._counts.update(
+            connection.classify_input() for connection in idle if not connection.has_no_input()
+        )
         self._result.counts = dict(self._counts)
         return self._result
 
     def _begin(self, call: Call, connection: Connection) -> None:
         connection.call, connection.data = call, b""
-        call.tries += 1
+        call.attempts += 1
         call.sent_ns = call.sent_ns or time.monotonic_ns()
         self._busy[connection.sock.fileno()] = connection
         self._poll.register(connection.sock, select.EPOLLIN)
         try:
             connection.sock.send(call.data)
         except OSError:
-            self._broken(connection)
+            self._on_broken(connection)
 
-    def _take(self, port: int) -> Connection:
+    def _take_connection(self, port: int) -> Connection:
         while self._idle[port]:
             connection = self._idle[port].pop()
-            if connection.is_quiet():
+            if connection.has_no_input():
                 return connection
-            self._counts[connection.disturbed()] += 1
+            self._counts[connection.classify_input()] += 1
             connection.sock.close()
         return self._open(port)
 
@@ -167,50 +169,50 @@
             data = b""
         now = time.monotonic_ns()
         if not data:
-            self._broken(connection)
+            self._on_broken(connection)
             return
         connection.data += data
         if answer := connection.answer():
             call, connection.call = connection.call, None
             assert call
-            self._answered(call, now, *answer)
-            self._leave(connection)
+            self._on_answer(call, now, *answer)
+            self._unregister(connection)
             self._idle[connection.port].append(connection)
 
-    def _answered(self, call: Call, now: int, status: int, data: bytes) -> None:
+    def _on_answer(self, call: Call, now: int, status: int, data: bytes) -> None:
         if status != 200:
             self._counts[f"status {status}"] += 1
             return
         body: Body | None = decode(data)
-        if body is None or body.trace != call.trace or not call.sent_ns <= body.came_ns <= now:
+        if body is None or body.trace != call.trace or not call.sent_ns <= body.received_ns <= now:
             self._counts["wrong body"] += 1
             return
         self._counts["answered"] += 1
         late, took = call.sent_ns - call.planned_ns, now - call.planned_ns
-        there, back = body.came_ns - call.sent_ns, now - body.left_ns
+        there, back = body.received_ns - call.sent_ns, now - body.answered_ns
         self._result.rows.append((late, took, there, back, body.first, call.planned_ns - self._start))
 
-    def _leave(self, connection: Connection) -> None:
+    def _unregister(self, connection: Connection) -> None:
         self._poll.unregister(connection.sock)
         del self._busy[connection.sock.fileno()]
 
-    def _broken(self, connection: Connection) -> None:
-        """A close that crosses a request not yet read: once more on a new connection."""
+    def _on_broken(self, connection: Connection) -> None:
+        """Retry once on a new connection, as the server may have closed this one before reading the call."""
         call = connection.call
-        self._leave(connection)
+        self._unregister(connection)
         connection.sock.close()
         assert call
-        if connection.data or call.tries > 1:
+        if connection.data or call.attempts > 1:
             self._counts["broken"] += 1
             return
-        self._counts[AGAIN] += 1
+        self._counts[RETRIED] += 1
         self._begin(call, self._open(call.port))
 
 
 def main() -> None:
     generator = Generator(Plan(**json.loads(sys.argv[1])))
     gc.collect()
-    gc.disable()  # or its own collections would pass for latency
+    gc.disable()  # garbage collection would count as latency
     print(json.dumps(asdict(generator.run())))
 
 
--- a/tests/scale_path/order_servers.py
+++ b/tests/scale_path/order_servers.py
@@ -1,7 +1,7 @@
-"""Stand-in order servers, all in one process: each answers at once, and its body says when.
+"""Test order servers, all in one process: each answers at once, with time stamps in the body.
 
-`python -m tests.scale_path.order_servers COUNT REPORT` prints the ports, one line of JSON, and serves until
-its standard input ends. REPORT is the load report of each answer; empty: none."""
+`python -m tests.scale_path.order_servers COUNT REPORT` prints the ports as a line of JSON, and serves until
+its standard input ends. REPORT is the load report of each answer, if not empty."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 import time
 from typing import NamedTuple
 
-FILLER = b"0123456789abcdef" * 16  # so that an answer is as long as an order's may be
+FILLER = b"0123456789abcdef" * 16  # gives answers the length of a typical order
 _CLOCK = 16  # hexadecimal digits of a time
 
 
 class Body(NamedTuple):
-    """What an answer holds: whose it is, when its request had come and when it left, by the one clock of
-    the machine, and whether it was the first on its connection."""
+    """An answer's body: the request's trace id, when it was received and answered by the machine's monotonic
+    clock, and whether it was the first on its connection."""
 
     trace: bytes
-    came_ns: int
-    left_ns: int
+    received_ns: int
+    answered_ns: int
     first: bool
 
 
 def encode(body: Body) -> bytes:
-    return b"%s %016x %016x %d %s" % (body.trace, body.came_ns, body.left_ns, body.first, FILLER)
+    return b"%s %016x %016x %d %s" % (body.trace, body.received_ns, body.answered_ns, body.first, FILLER)
 
 
 def decode(data: bytes) -> Body | None:
-    """None for anything but a whole body of this form."""
+    """The decoded body, or None if it is incomplete or malformed."""
     parts = data.split(b" ")
     if len(parts) != 5 or parts[4] != FILLER or len(parts[1]) != _CLOCK or len(parts[2]) != _CLOCK:
         return None
@@ -38,13 +38,13 @@
 
 
 def trace_of(head: bytes) -> bytes:
-    """The request's id, whatever the case of the header's name."""
+    """The request's trace id; the header's name is matched in any case."""
     at = head.lower().find(b"\r\nx-trace-id:")
     return head[at + 13 :].split(b"\r\n", 1)[0].strip() if at >= 0 else b""
 
 
 class OrderServer(asyncio.Protocol):
-    """One connection. Requests have no body, as those of a safe class."""
+    """One connection. Requests are of a safe class and have no body."""
 
     def __init__(self, report: bytes) -> None:
         self._head = b"HTTP/1.1 200 OK\r\n"
@@ -57,15 +57,15 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        came_ns = time.monotonic_ns()
+        received_ns = time.monotonic_ns()
         self._data += data
         while b"\r\n\r\n" in self._data:
             head, _, self._data = self._data.partition(b"\r\n\r\n")
-            self._answer(trace_of(head), came_ns)
+            self._answer(trace_of(head), received_ns)
 
-    def _answer(self, trace: bytes, came_ns: int) -> None:
+    def _answer(self, trace: bytes, received_ns: int) -> None:
         assert self._transport
-        body = encode(Body(trace, came_ns, time.monotonic_ns(), self._first))
+        body = encode(Body(trace, received_ns, time.monotonic_ns(), self._first))
         self._transport.write(b"%sContent-Length: %d\r\n\r\n%s" % (self._head, len(body), body))
         self._first = False
 
--- a/tests/scale_path/sidecar.py
+++ b/tests/scale_path/sidecar.py
@@ -1,4 +1,4 @@
-"""One real sidecar process with stand-in order servers, a discovery that lists them, and calls to it."""
+"""One real sidecar process with test order servers, a discovery that lists them, and calls to it."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 from anisespool.config import Address
 from tests.net import StaticDiscovery, exchange, free_port, member, member_list, write_config
-from tests.scale_path.figures import Used
+from tests.scale_path.figures import ResourceUsage
 from tests.scale_path.generator import Plan, Result
 
 ROOT = Path(__file__).parents[2]
 PROGRAM = ["-m", "anisespool"]  # after the interpreter
-BEAT_S = 1.0  # between the empty lines of a watch; 2 s is the most
+HEARTBEAT_INTERVAL_S = 1.0  # between the empty lines of a watch; at most 2 s are allowed
 FLEET = 9_100
 REPORT = "queue=0, util=0.3"
 START_S = 30.0
@@ -32,33 +32,33 @@
 
 @dataclass(frozen=True)
 class Setting:
-    """What a sidecar is measured in."""
+    """The conditions of a measurement."""
 
-    real: int = 15  # order servers that listen, as a service has in the mean
-    listed: int = 15  # those beyond the real ones share their addresses
+    real: int = 15  # listening order servers; the mean of a service
+    listed: int = 15  # servers beyond `real` share the real ones' addresses
     changes_per_s: float = 0.0  # rows of the list, one at a time
-    store: bool = False  # a state store, by TMPDIR
-    report: str = REPORT  # of each answer; empty: none
+    store: bool = False  # whether there is a state store, set by TMPDIR
+    report: str = REPORT  # load report of each answer; empty for none
     fleet: int = FLEET  # sidecars
-    peers: bool = False  # datagrams to the fleet's sidecars, which nobody reads
+    peers: bool = False  # whether to send datagrams to peers; none are read
 
 
-class List(StaticDiscovery):
-    """A watch that goes on: empty lines, and changes where they are wanted."""
+class ChangingDiscovery(StaticDiscovery):
+    """A discovery whose watches get empty lines and, if requested, changes."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         super().__init__(member_list(2, rows))
         self._rows, self._draw, self.revision = rows, random.Random(25), 2
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             if self.connections:
                 self.say(b"")
 
-    async def change(self, per_s: float) -> None:
-        """One row at a time begins to drain, and with the next change is up again. Counted from the
-        first, so that slow writes do not thin them out."""
+    async def send_changes(self, per_s: float) -> None:
+        """Drain one row at a time, and bring it up again with the next change. Times count from the first
+        change, so that slow writes do not lower the rate."""
         loop, row, began, n = asyncio.get_running_loop(), self._rows[0], asyncio.get_running_loop().time(), 0
         while True:
             n += 1
@@ -72,16 +72,18 @@
 
 
 class SidecarUnderLoad:
-    def __init__(self, address: Address, ports: list[int], process: psutil.Process, told: List) -> None:
-        self.address, self.ports, self.told = address, ports, told
+    def __init__(
+        self, address: Address, ports: list[int], process: psutil.Process, discovery: ChangingDiscovery
+    ) -> None:
+        self.address, self.ports, self.discovery = address, ports, discovery
         self._process = process
 
-    def used(self) -> Used:
-        """Since the start."""
+    def usage(self) -> ResourceUsage:
+        """Totals since the start."""
         own, machine = self._process.cpu_times(), psutil.cpu_times()
         waited_ns = int(Path(f"/proc/{self._process.pid}/schedstat").read_text().split()[1])
-        cores_s = sum(machine) - machine.guest - machine.guest_nice  # those are among the others too
-        return Used(time.monotonic(), own.user + own.system, waited_ns / 1e9, cores_s, machine.idle,
+        cores_s = sum(machine) - machine.guest - machine.guest_nice  # already included in user and nice
+        return ResourceUsage(time.monotonic(), own.user + own.system, waited_ns / 1e9, cores_s, machine.idle,
                     machine.steal)  # fmt: skip
 
     async def through(self, rate: float, seconds: float, seed: int, arrivals: str = "poisson") -> Result:
@@ -92,19 +94,19 @@
 
 
 async def generate(plan: Plan) -> Result:
-    """The plan, by a generator in a process of its own."""
+    """Run the plan with a generator in a separate process."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "tests.scale_path.generator", json.dumps(asdict(plan)),
         cwd=ROOT, stdout=asyncio.subprocess.PIPE,
     )  # fmt: skip
     out, _ = await process.communicate()
-    assert process.returncode == 0, "the generator failed; its error is on standard error"
+    assert process.returncode == 0, "the load generator failed; see its standard error"
     return Result(**json.loads(out))
 
 
 @asynccontextmanager
 async def order_servers(count: int, report: str) -> AsyncIterator[list[int]]:
-    """Their ports."""
+    """Run order servers; yields their ports."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "tests.scale_path.order_servers", str(count), report,
         cwd=ROOT, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
@@ -124,7 +126,7 @@
 def environment(
     folder: Path, setting: Setting, discovery: Address, known: list[dict[str, Any]]
 ) -> dict[str, str]:
-    """As the platform gives it, of a sidecar in a fleet of the size to plan for."""
+    """The environment that the platform gives a sidecar in a fleet of the planned size."""
     listen, columns = f"127.0.0.1:{free_port()}", ["queue", "util"]
     env = write_config(folder, discovery, known, listen, fleet_size=setting.fleet, self_index=1,
                        report={"columns": columns, "how": "piggyback"},
@@ -146,30 +148,32 @@
                 if (await exchange(address, b"GET /healthz HTTP/1.1\r\n\r\n")).status == 200:
                     return
             await asyncio.sleep(0.02)
-    raise AssertionError(f"the sidecar ended with {process.returncode}; its log is in the folder")
+    raise AssertionError(
+        f"the sidecar exited with status {process.returncode}; see the file log in its folder"
+    )
 
 
 @asynccontextmanager
 async def sidecar(folder: Path, setting: Setting) -> AsyncIterator[SidecarUnderLoad]:
-    """Started, with the list in use; changes of the list begin at once, where the setting wants any."""
+    """A started sidecar with an open watch; list changes, if any, begin at once."""
     async with order_servers(setting.real, setting.report) as ports:
         listed = rows(setting, ports)
-        async with List(listed).serve() as told, asyncio.TaskGroup() as works:
-            env = environment(folder, setting, told.address, listed)
+        async with ChangingDiscovery(listed).serve() as discovery, asyncio.TaskGroup() as works:
+            env = environment(folder, setting, discovery.address, listed)
             with open(folder / "log", "wb") as log:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable, *PROGRAM, env=env, cwd=ROOT, stderr=log
                 )
-            tasks = [works.create_task(told.beat())]
+            tasks = [works.create_task(discovery.send_heartbeats())]
             try:
                 address = Address.parse(env["LB_LISTEN"])
                 await until_healthy(address, process)
                 async with asyncio.timeout(START_S):
-                    while not told.connections:
+                    while not discovery.connections:
                         await asyncio.sleep(0.02)
                 if setting.changes_per_s:
-                    tasks.append(works.create_task(told.change(setting.changes_per_s)))
-                yield SidecarUnderLoad(address, ports, psutil.Process(process.pid), told)
+                    tasks.append(works.create_task(discovery.send_changes(setting.changes_per_s)))
+                yield SidecarUnderLoad(address, ports, psutil.Process(process.pid), discovery)
             finally:
                 for task in tasks:
                     task.cancel()
--- a/tests/scale_path/tables.py
+++ b/tests/scale_path/tables.py
@@ -1,11 +1,11 @@
-"""The figures as tables. Each is the median of the runs, with the least and the most."""
+"""Prints the figures as tables: the median of the runs, with minimum and maximum."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from operator import attrgetter
 
-from tests.scale_path.figures import QUANTILES, Group, Run, line_of, spread, table
+from tests.scale_path.figures import QUANTILES, Group, Run, fit_groups, spread, table
 
 _QUANTILE_HEADS = [f"p{q:g} ms" for q in QUANTILES]
 
@@ -36,7 +36,7 @@
 
 def _outcome(group: Group) -> str:
     answered, planned = sum(r.answered for r in group.runs), sum(r.planned for r in group.runs)
-    other = ", ".join(f"{count} {name}" for name, count in sorted(group.lost().items()))
+    other = ", ".join(f"{count} {name}" for name, count in sorted(group.faults().items()))
     return f"{answered} of {planned}" + (f"; {other}" if other else "")
 
 
@@ -67,7 +67,7 @@
 
 
 def _differences(direct: Group, through: Group, name: str) -> list[str]:
-    """Of the medians. The quantile of a difference is something else, and can't be had."""
+    """Differences of the medians. The quantiles of the difference itself cannot be measured."""
     places = [_quantile(name, place) for place in range(len(QUANTILES))]
     return [f"{through.of(place)[0] - direct.of(place)[0]:.2f}" for place in places]
 
@@ -78,7 +78,7 @@
          _yardstick(g), _outcome(g), g.machine()]
         for g in groups
     ]  # fmt: skip
-    line = line_of(groups)
+    line = fit_groups(groups)
     text = table("By calls/s", ["calls/s", *_QUANTILE_HEADS, *_LAST_HEADS], rows)
     text += f"\nLeast squares: {line.slope * 1e3:.3f} ms a call and {line.base:.4f} of a core, "
     return text + f"deviation {line.deviation:.4f} of a core; a core is full at {line.full_at:.0f} calls/s.\n"
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -1,5 +1,5 @@
-"""Runs a sidecar whose wall clock a test steps: by the seconds in the file that $STEP_FILE names, which it
-rewrites while the process runs. Monotonic time goes on as it is, as at a real step."""
+"""Runs a sidecar whose wall clock a test can step, by the number of seconds in the file $STEP_FILE, which the
+test rewrites while the process runs. The monotonic clock is left alone, as in a real step."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from pathlib import Path
 
 STEP_FILE = "STEP_FILE"
-NO_BOOT_ID = "NO_BOOT_ID"  # set: the kernel's id of the boot cannot be read
+NO_BOOT_ID = "NO_BOOT_ID"  # if set, the kernel's boot id cannot be read
 _unstepped_ns = time.time_ns
 
 
 def offset_ns() -> int:
-    """Seconds in the file, as ns."""
+    """The seconds in the file, in ns."""
     return round(float(Path(os.environ[STEP_FILE]).read_text()) * 1e9)
 
 
@@ -22,8 +22,8 @@
     return _unstepped_ns() + offset_ns()
 
 
-class Stepper:
-    """The file, for the test that steps the clock."""
+class ClockStepper:
+    """Writes the file through which a test steps the clock."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / "step"
@@ -31,7 +31,7 @@
         self.env = {STEP_FILE: str(self._path)}
 
     def step_to(self, seconds: float) -> None:
-        """From now on the wall clock is so far from the machine's."""
+        """Set the offset of the wall clock from the machine's."""
         written = self._path.with_suffix(".new")
         written.write_text(str(seconds))
         os.replace(written, self._path)
--- a/tests/test_clock_offsets.py
+++ b/tests/test_clock_offsets.py
@@ -11,7 +11,7 @@
 from shuntlead.quotas import REPORT_INTERVAL_NS
 from tests.fleet import fleet
 from tests.net import Endpoint, StaticDiscovery, member, member_list
-from tests.stepped_clock import Stepper
+from tests.stepped_clock import ClockStepper
 from tests.test_fleet import BUSY, SETTINGS, asked, load
 from tests.test_wall_clock import STEPS_S
 
@@ -27,7 +27,7 @@
         rows = [member(f"s-{n}", server.address) for n in range(8)]
         async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows, **SETTINGS)
-            stepper = Stepper(tmp_path)
+            stepper = ClockStepper(tmp_path)
             stepper.step_to(step_s)
             it.module, it.env = "tests.stepped_clock", stepper.env
             await it.start(1, discovery.address, rows, **SETTINGS)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: kept, bounded, and not trusted too far."""
+"""Connections to endpoints: reuse, limits, and when an idle connection is not reused."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from shuntlead.interface import Status
 from tests.net import OK, Endpoint, until
 from tests.support import MS, SECOND
-from tests.test_endpoints import GET, Driver, answer, say_nothing
+from tests.test_endpoints import GET, Driver, empty_response, never_respond
 
 
 @pytest.fixture(autouse=True)
-def taken_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection may be used again at once; that it rests first is shown in tests/test_crossings.py."""
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Connections may be reused at once; tests/test_crossings.py tests the delay before reuse."""
     monkeypatch.setattr(endpoints, "REUSE_DELAY_S", 0.0)
 
 
-async def test_connections_are_kept_and_carry_one_request_at_a_time() -> None:
+async def test_connections_are_reused_and_carry_one_request_at_a_time() -> None:
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         for _ in range(3):
@@ -42,7 +42,7 @@
         (connection,) = driver.endpoints.connections
         transport = connection._transport
         assert transport
-        # The news is in the kernel, and the loop has not read it yet: no turn of the loop in between.
+        # The close has reached the kernel, but the event loop has not processed it yet.
         transport.pause_reading()
         endpoint.connections[0][1].close()
         await until(lambda: not connection.is_usable())
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("more", [b"HTTP/1.1 200 OK\r\n", b"\x00\x01", b"\r\n\r\nx"])
-async def test_an_answer_with_more_behind_it_ends_the_connection(more: bytes) -> None:
+async def test_extra_bytes_after_an_answer_close_the_connection(more: bytes) -> None:
     async with Endpoint(OK + more).serve() as endpoint:
         driver = Driver(endpoint.address)
         assert (await driver.result()).status is Status.OK
@@ -70,15 +70,15 @@
         assert len(endpoint.connections) == 2
 
 
-async def test_a_drain_stops_sends_at_once_and_those_that_wait_for_a_connection() -> None:
+async def test_a_drain_stops_new_attempts_and_those_waiting_for_a_connection() -> None:
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         await driver.result()
-        waiting = [driver.send(), driver.send()]  # the first has the idle connection, the second waits
+        waiting = [driver.send(), driver.send()]  # the first gets the idle connection, the second waits
         driver.endpoints.update(1, "s-1", endpoint.address, 0, False)
         assert waiting[1].status is Status.CONNECT_FAILED
         assert driver.send().status is Status.MOOT
-        await until(lambda: waiting[0].status is Status.OK)  # it finishes what it has
+        await until(lambda: waiting[0].status is Status.OK)  # an attempt in progress finishes
         await until(lambda: not driver.endpoints.connections)
         assert len(endpoint.requests) == 2
         driver.endpoints.remove(1)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("moved", [True, False])
-async def test_a_new_start_or_address_drops_the_old_connections(moved: bool) -> None:
+async def test_a_new_start_or_address_closes_the_old_connections(moved: bool) -> None:
     async with Endpoint().serve() as old, Endpoint().serve() as new:
         driver = Driver(old.address)
         await driver.result()
@@ -96,13 +96,13 @@
         assert (len(old.requests), len(new.requests)) == ((1, 1) if moved else (2, 0))
 
 
-async def test_connections_are_bounded_and_idle_ones_make_room() -> None:
-    async with Endpoint(say_nothing).serve() as busy, Endpoint().serve() as other:
-        driver = Driver(busy.address, most=2)
+async def test_connections_are_limited_and_idle_ones_are_closed_for_new_ones() -> None:
+    async with Endpoint(never_respond).serve() as busy, Endpoint().serve() as other:
+        driver = Driver(busy.address, max_connections=2)
         driver.endpoints.update(2, "s-2", other.address, 0, True)
         first = driver.send(endpoint=2)
         await until(lambda: first.status is Status.OK)
-        held = [driver.send(), driver.send()]  # the second takes the idle one's place
+        held = [driver.send(), driver.send()]  # the second replaces the idle connection
         await until(lambda: len(busy.requests) == 2)
         await until(lambda: other.ended == 1)
         assert driver.send().status is Status.CONNECT_FAILED
@@ -110,8 +110,8 @@
 
 
 @pytest.mark.parametrize("heard", [False, True])
-async def test_after_silence_the_idle_connections_are_not_trusted(heard: bool) -> None:
-    """Of a vanished machine nothing is heard; a slow one goes on answering others, and keeps them."""
+async def test_after_a_time_out_idle_connections_are_closed_unless_others_were_answered(heard: bool) -> None:
+    """A vanished machine answers nothing; a slow one answers other requests and keeps its connections."""
 
     async def first_waits(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if endpoint.requests[-1].target != b"/look/slow":
@@ -130,29 +130,31 @@
         assert len(driver.endpoints.connections) == (1 if heard else 0)
 
 
-async def test_a_connection_that_breaks_as_it_comes_up_has_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_connection_lost_while_being_established_has_not_run_the_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def close(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
     loop = asyncio.get_running_loop()
     connect = loop.create_connection
 
-    async def lost_meanwhile(*args: Any) -> Any:
+    async def connect_then_lose(*args: Any) -> Any:
         transport, protocol = await connect(*args)
         await until(transport.is_closing)
         return transport, protocol
 
     server = await asyncio.start_server(close, "127.0.0.1", 0)
     async with server:
-        monkeypatch.setattr(loop, "create_connection", lost_meanwhile)
+        monkeypatch.setattr(loop, "create_connection", connect_then_lose)
         began = monotonic_ns()
         attempt = await Driver(Address(*server.sockets[0].getsockname())).result()
     assert attempt.status is Status.CONNECT_FAILED
-    assert monotonic_ns() - began < SECOND  # told at once, not when its time was up
+    assert monotonic_ns() - began < SECOND  # reported at once, not at the time-out
 
 
-async def test_the_rest_of_a_given_up_request_does_not_leave() -> None:
-    """Its last byte would be an attempt that nobody counts."""
+async def test_the_rest_of_a_cancelled_request_is_not_sent() -> None:
+    """A request that is sent to its last byte may run, as an attempt that is not counted."""
     size, got, ended = 30_000_000, 0, asyncio.Event()
     read_on = asyncio.Event()
 
@@ -175,8 +177,8 @@
     assert got < size
 
 
-async def test_an_idle_connection_holds_no_parser_of_its_last_answer() -> None:
-    """Each is a cycle with what it has read, which only the collector would free."""
+async def test_an_idle_connection_keeps_no_parser_of_its_last_answer() -> None:
+    """A parser forms a reference cycle with what it has read, which only the garbage collector frees."""
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         await driver.result()
@@ -184,9 +186,9 @@
         assert connection._parser is None
 
 
-async def test_traffic_is_logged_by_names_that_all_sidecars_know(capsys: pytest.CaptureFixture[str]) -> None:
+async def test_traffic_is_logged_under_the_servers_ids(capsys: pytest.CaptureFixture[str]) -> None:
     report = "Endpoint-Load-Metrics: TEXT queue=2, inflight=7\r\n"
-    async with Endpoint(answer("503 Busy", f"X-Never-Ran: 1\r\n{report}")).serve() as endpoint:
+    async with Endpoint(empty_response("503 Busy", f"X-Never-Ran: 1\r\n{report}")).serve() as endpoint:
         driver = Driver(endpoint.address)
         for count in (1, 2):
             driver.send()
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery answers one sidecar of a fleet and refuses the others, as on 2026-12-02. Real processes."""
+"""Discovery answers one sidecar of a fleet and refuses the others, as on 2026-12-02. Uses real processes."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from tests.observer import GRACE_S
 
 FLEET, SERVERS = 4, 6
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+LIST_DEADLINE_S = 6.0  # after discovery has a change and is reachable
 REQUESTS = 40
 
 
-class Crowded(StaticDiscovery):
-    """Answers calls until it is told to refuse them."""
+class OverloadedDiscovery(StaticDiscovery):
+    """Answers calls until `refuse` is called."""
 
     def __init__(self, line: dict[str, Any], ending: str) -> None:
         super().__init__(line)
@@ -49,45 +49,49 @@
             reset(writer)
 
     def refuse(self) -> None:
-        """From now on, and the watches end in place of telling what changes."""
+        """Refuse calls from now on, and end the watches without sending the change."""
         self._refuses = True
         for _, writer in self.connections:
             writer.transport.abort()
 
 
 @asynccontextmanager
-async def scene(folder: Path, ending: str, out: int) -> AsyncIterator[tuple[Fleet, list[Endpoint], float]]:
-    """A fleet of which discovery tells sidecar 1 alone that the first servers drain; since when that counts
-    as told to all."""
+async def overloaded_fleet(
+    folder: Path, ending: str, draining_count: int
+) -> AsyncIterator[tuple[Fleet, list[Endpoint], float]]:
+    """A fleet in which discovery reports the drain of the first servers to sidecar 1 alone. Also yields the
+    time by which all sidecars must apply it."""
     async with AsyncExitStack() as stack:
         servers = [await stack.enter_async_context(Endpoint(OK).serve()) for _ in range(SERVERS)]
-        it = await stack.enter_async_context(fleet(folder, FLEET))
+        sidecars = await stack.enter_async_context(fleet(folder, FLEET))
         rows = [member(f"s-{n}", server.address) for n, server in enumerate(servers)]
-        answered = await stack.enter_async_context(StaticDiscovery(member_list(2, rows)).serve())
-        crowded = await stack.enter_async_context(Crowded(member_list(2, rows), ending).serve())
+        reachable = await stack.enter_async_context(StaticDiscovery(member_list(2, rows)).serve())
+        overloaded = await stack.enter_async_context(
+            OverloadedDiscovery(member_list(2, rows), ending).serve()
+        )
         for n in range(FLEET):
-            await it.start(n, answered.address if n == 1 else crowded.address, rows)
-        await until(lambda: len(answered.connections) == 1 and len(crowded.connections) == FLEET - 1)
+            await sidecars.start(n, reachable.address if n == 1 else overloaded.address, rows)
+        await until(lambda: len(reachable.connections) == 1 and len(overloaded.connections) == FLEET - 1)
         changed_s = time.monotonic()
-        draining = [row | {"phase": "draining"} for row in rows[:out]]
-        Discovery.write_line(answered.connections[0][1], member_list(3, draining, complete=False))
-        crowded.refuse()
-        yield it, servers, changed_s + TOLD_S + GRACE_S
-        assert crowded.refused
+        draining = [row | {"phase": "draining"} for row in rows[:draining_count]]
+        Discovery.write_line(reachable.connections[0][1], member_list(3, draining, complete=False))
+        overloaded.refuse()
+        yield sidecars, servers, changed_s + LIST_DEADLINE_S + GRACE_S
+        assert overloaded.refused
 
 
 @pytest.mark.timeout(60)
-@pytest.mark.parametrize("out", [1, SERVERS - 1])
+@pytest.mark.parametrize("draining_count", [1, SERVERS - 1])
 @pytest.mark.parametrize("ending", ["503", "reset"])
-async def test_what_one_peer_was_told_is_out_for_all_by_the_time_at_which_it_counts(
-    tmp_path: Path, ending: str, out: int
+async def test_a_drain_reported_to_one_sidecar_applies_to_all_by_its_deadline(
+    tmp_path: Path, ending: str, draining_count: int
 ) -> None:
-    """However the calls end, and however many servers are out."""
-    async with scene(tmp_path, ending, out) as (it, servers, counts_s):
-        await until(lambda: time.monotonic() > counts_s)
+    """However the calls end, and however many servers drain."""
+    async with overloaded_fleet(tmp_path, ending, draining_count) as (sidecars, servers, deadline_s):
+        await until(lambda: time.monotonic() > deadline_s)
         for server in servers:
             server.requests.clear()
         for n in range(REQUESTS):
-            assert await it.request(0, f"r{n}") == 200
-        late = [len(server.requests) for server in servers[:out]]
-        assert not any(late), f"requests to servers that drain: {late} of {REQUESTS}"
+            assert await sidecars.request(0, f"r{n}") == 200
+        late = [len(server.requests) for server in servers[:draining_count]]
+        assert not any(late), f"requests to draining servers: {late} of {REQUESTS}"
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -32,7 +32,7 @@
 from tests.planned_end import immediate_shutdown
 from tests.test_admin import call
 from tests.test_driver import scripted, send_once
-from tests.test_endpoints import say_nothing
+from tests.test_endpoints import never_respond
 from tests.test_program import start
 
 
@@ -230,7 +230,7 @@
 
 
 async def test_who_finds_all_places_taken_is_told_when_to_come_back(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
+    async with Endpoint(never_respond).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         listening = server.Server(it.sidecar, config.names, config.settings, 1)
         address = listening.listen(Address("127.0.0.1", 0))
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -24,7 +24,7 @@
     write_config,
 )
 from tests.support import MS, SECOND
-from tests.test_endpoints import GET, say_nothing
+from tests.test_endpoints import GET, never_respond
 from tests.test_sidecar import NEVER_RAN
 
 
@@ -75,7 +75,7 @@
 
 
 async def test_the_driver_answers_for_a_silent_module_in_time(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
+    async with Endpoint(never_respond).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         began = monotonic()
         it.take(left_ns=100 * MS)
         await until(lambda: bool(it.answers))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -27,7 +27,7 @@
 )
 from tests.support import MS, SECOND
 
-GONE_S = 0.1  # requirement: no attempt starts later than this after its client has closed
+CANCEL_LIMIT_S = 0.1  # requirement: no attempt starts later than this after its client has closed
 PIPELINED_REQUESTS = 12  # more than the sidecar reads ahead
 
 
@@ -88,7 +88,7 @@
                 break
         with connected:
             try:
-                async with asyncio.timeout(GONE_S):
+                async with asyncio.timeout(CANCEL_LIMIT_S):
                     self.received += await loop.sock_recv(connected, 65536)
             except (TimeoutError, ConnectionError):
                 pass
@@ -120,7 +120,7 @@
 
 async def wait_until_open(it: Harness, left: int) -> None:
     """Wait until the sidecar has noticed the close: `left` of its requests are open then."""
-    async with asyncio.timeout(GONE_S + 0.05):
+    async with asyncio.timeout(CANCEL_LIMIT_S + 0.05):
         await until(lambda: it.service.open == left)
 
 
--- a/tests/test_long_turns.py
+++ b/tests/test_long_turns.py
@@ -12,7 +12,7 @@
 from anisespool.exchange import Call
 from anisespool.front.request_decoding import InvalidRequest, ReceivedRequest, deduct_wait
 from anisespool.http1 import Request
-from tests.drain_scenario import scene
+from tests.drain_scenario import drain_scenario
 from tests.net import member_list, read_response, until
 from tests.observer import GRACE_S
 from tests.support import MS, SECOND
@@ -50,36 +50,38 @@
     tmp_path: Path, left_ms: int, status: int
 ) -> None:
     """A process that is far behind rejects expired requests at once instead of trying each."""
-    async with scene(tmp_path) as it:
-        await until(lambda: bool(it.it.discovery.connections))
+    async with drain_scenario(tmp_path) as it:
+        await until(lambda: bool(it.sidecar.discovery.connections))
         assert await it.call("warm") == 200
-        reader, writer = await asyncio.open_connection(*it.it.address)
-        writer.write(it.seen.call("first"))
+        reader, writer = await asyncio.open_connection(*it.sidecar.address)
+        writer.write(it.observer.call("first"))
         assert (await read_response(reader)).status == 200
-        writer.write(it.seen.call("late", left_ms=left_ms))
+        writer.write(it.observer.call("late", left_ms=left_ms))
         time.sleep(0.4)  # blocks the event loop
         began_s = time.monotonic()
         assert (await read_response(reader)).status == status
         assert time.monotonic() - began_s < 0.2
-        reached = "late" in it.seen.traces("s-0") + it.seen.traces("s-1")
+        reached = "late" in it.observer.traces("s-0") + it.observer.traces("s-1")
         assert reached == (status == 200)
         writer.close()
 
 
 async def test_requests_read_after_a_stop_go_by_the_change_that_was_written_meanwhile(tmp_path: Path) -> None:
     """The requests have waited longer than the grace period, and are read before the change."""
-    async with scene(tmp_path) as it:
-        await until(lambda: bool(it.it.discovery.connections))
+    async with drain_scenario(tmp_path) as it:
+        await until(lambda: bool(it.sidecar.discovery.connections))
         assert await it.call("warm") == 200
-        sockets = [socket.create_connection(it.it.address) for _ in range(REQUESTS)]
-        await it.rested()  # accepted by now
+        sockets = [socket.create_connection(it.sidecar.address) for _ in range(REQUESTS)]
+        await it.wait_until_reusable()  # accepted by now
         for n, each in enumerate(sockets):
-            each.sendall(it.seen.call(f"r{n}"))
+            each.sendall(it.observer.call(f"r{n}"))
         it.revision += 1
-        it.seen.tell(it.it.discovery, member_list(it.revision, [it.row(0, "draining")], complete=False))
+        it.observer.send_update(
+            it.sidecar.discovery, member_list(it.revision, [it.row(0, "draining")], complete=False)
+        )
         time.sleep(1.5 * GRACE_S)  # blocks the event loop
-        await it.read()
+        await it.wait_until_applied()
         assert await it.call("after") == 200
         for each in sockets:
             each.close()
-        assert len(it.seen.traces("s-0")) + len(it.seen.traces("s-1")) >= 2
+        assert len(it.observer.traces("s-0")) + len(it.observer.traces("s-1")) >= 2
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -1,4 +1,4 @@
-"""Where lists are pushed: what the agent has counts as told from a process's first moment."""
+"""Pushed lists: what the agent has counts as delivered from the start of a process."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.net import Discovery, Endpoint, exchange, member, member_list, raw_call, until, write_config
 
 
-async def test_where_lists_are_pushed_a_new_process_of_a_large_fleet_asks_at_once(tmp_path: Path) -> None:
-    """What the agent has counts from the first moment."""
+async def test_with_pushed_lists_a_new_process_of_a_large_fleet_calls_at_once(tmp_path: Path) -> None:
+    """The agent's list counts from the start, so the first call is not spread over time."""
     async with Endpoint().serve() as endpoint, Discovery().serve() as discovery:
         for n in range(4):
             env = write_config(tmp_path, discovery.address, [member("s-0", endpoint.address)],
@@ -26,11 +26,11 @@
 
 
 @pytest.mark.parametrize("answers", [True, False])
-async def test_where_lists_are_pushed_no_client_is_let_in_before_the_first_list_has_come(
+async def test_with_pushed_lists_no_client_is_accepted_before_the_first_list(
     tmp_path: Path, answers: bool
 ) -> None:
-    """By the list of before the restart it would send to a server that drains. Where discovery cannot
-    be had, the agent knows nothing that would count."""
+    """With the list from before the restart it could send to a draining server. If discovery is unreachable,
+    the agent has no list that counts."""
     async with Endpoint().serve() as old, Endpoint().serve() as new, Discovery().serve() as discovery:
         place = discovery.address if answers else Address("127.0.0.1", 1)
         env = write_config(tmp_path, place, [member("s-0", old.address)], discovery="push")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,7 +21,7 @@
 from tests.planned_end import classes_with, immediate_shutdown, sidecar
 from tests.support import MS, SECOND, Sidecar, final_answers, listed, sends
 from tests.test_driver import scripted, send_once
-from tests.test_endpoints import say_nothing
+from tests.test_endpoints import never_respond
 from tests.test_long import BodySink
 from tests.test_upgrade import upgrade
 
@@ -122,7 +122,7 @@
 
 async def test_all_that_a_client_without_a_place_sent_ahead_is_answered(tmp_path: Path) -> None:
     """Closing with the first answer would lose the pipelined requests behind it."""
-    async with Endpoint(say_nothing).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
+    async with Endpoint(never_respond).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         listener = Server(it.sidecar, config.names, config.settings, 1)
         address = listener.listen(Address("127.0.0.1", 0))
@@ -143,7 +143,7 @@
 ) -> None:
     """TCP_NODELAY: a delayed answer would be lost with a reset of the connection. The event loop sets it for
     connections that it creates, not for sockets passed to it."""
-    async with Endpoint(say_nothing).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
+    async with Endpoint(never_respond).serve() as endpoint, scripted(tmp_path, endpoint, send_once) as it:
         config = load(write_config(tmp_path, endpoint.address, []))
         server = Server(it.sidecar, config.names, config.settings, 8)
         held = open_listener(Address("127.0.0.1", 0), 8)
@@ -175,7 +175,7 @@
 
     monkeypatch.setattr(Server, "_end_overdue_stages", stall)
     async with AsyncExitStack() as stack:
-        silent = await stack.enter_async_context(Endpoint(say_nothing).serve())
+        silent = await stack.enter_async_context(Endpoint(never_respond).serve())
         it = await stack.enter_async_context(harness(tmp_path, silent, request_classes=classes_with(1.0)))
         reader, writer = await asyncio.open_connection(*it.address)
         await until(lambda: bool(it.service._sidecar.ready))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -25,9 +25,9 @@
     reset,
     until,
 )
-from tests.test_endpoints import answer, hang_up, say_nothing
+from tests.test_endpoints import close_without_response, empty_response, never_respond
 
-NEVER_RAN = answer("503 Busy", "X-Never-Ran: 1\r\n")
+NEVER_RAN = empty_response("503 Busy", "X-Never-Ran: 1\r\n")
 
 
 def slow(seconds: float) -> Callable[..., Any]:
@@ -52,11 +52,11 @@
     ("cls", "reply", "attempts", "status"),
     [
         ("once", NEVER_RAN, 3, 503),  # known not to have run: others are tried, then a client retry is safe
-        ("once", answer("500 Oops"), 1, 502),  # may have run: no retry, and no 503
-        ("once", answer("503 Busy"), 1, 502),
-        ("once", hang_up, 1, 502),
-        ("look", answer("500 Oops"), 3, 503),
-        ("look", hang_up, 3, 503),
+        ("once", empty_response("500 Oops"), 1, 502),  # may have run: no retry, and no 503
+        ("once", empty_response("503 Busy"), 1, 502),
+        ("once", close_without_response, 1, 502),
+        ("look", empty_response("500 Oops"), 3, 503),
+        ("look", close_without_response, 3, 503),
     ],
 )
 async def test_what_may_have_run_is_sent_again_only_as_its_class_allows(
@@ -69,7 +69,7 @@
 
 
 async def test_an_unsafe_request_that_gets_no_answer_fails_in_time(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
+    async with Endpoint(never_respond).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         began = monotonic()
         response = await exchange(sidecar.address, raw_call("once", left_ms=150))
         assert response.status == 502
@@ -84,7 +84,7 @@
 
 
 async def test_a_client_that_goes_away_ends_its_attempt(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
+    async with Endpoint(never_respond).serve() as endpoint, harness(tmp_path, endpoint) as sidecar:
         for leave in (lambda w: w.close(), reset):
             before = len(endpoint.requests)
             _, writer = await asyncio.open_connection(*sidecar.address)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Which of two streams counts, and what is read of one that ends: on real connections."""
+"""Which of two streams counts, and what is read from one that ends, on real connections."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Held(Peer):
-    """Says to each call what the test writes."""
+class ManualDiscovery(Peer):
+    """Sends only the response head; the test writes the rest."""
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
@@ -36,18 +36,18 @@
         self.connections.append((reader, writer))
 
 
-class OneWord(Peer):
-    """Answers the first call with these bytes and an end, and no other."""
+class ClosingDiscovery(Peer):
+    """Answers the first call with these bytes and closes it; leaves all later calls unanswered."""
 
-    def __init__(self, said: bytes, resets: bool) -> None:
+    def __init__(self, data: bytes, resets: bool) -> None:
         super().__init__()
-        self._said, self._resets = said, resets
+        self._data, self._resets = data, resets
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         self.connections.append((reader, writer))
         if len(self.connections) == 1:
-            writer.write(HEAD + self._said)
+            writer.write(HEAD + self._data)
             if self._resets:
                 reset(writer)
             else:
@@ -55,8 +55,8 @@
 
 
 @asynccontextmanager
-async def watching(folder: Path, address: Address) -> AsyncIterator[list[int]]:
-    """The revisions that come into force, in order."""
+async def watch_revisions(folder: Path, address: Address) -> AsyncIterator[list[int]]:
+    """The revisions that are applied, in order."""
     revisions: list[int] = []
     config = load(write_config(folder, address, []))
     watch = Watch(address, config.names, MemberList(1, True, ()), 1, 10 * SECOND,
@@ -70,46 +70,55 @@
 
 @pytest.mark.parametrize("resets", [True, False])
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [chunk(LINE) + LAST_CHUNK, chunk(LINE), chunk(LINE[:-1]), chunk(LINE[:9]) + chunk(LINE[9:]) + b"no size"],
     ids=["last chunk", "no last chunk", "no end of the line", "broken framing"],
 )
-async def test_what_came_before_the_end_of_a_stream_is_in_force(
-    tmp_path: Path, said: bytes, resets: bool
+async def test_data_received_before_the_end_of_a_stream_is_applied(
+    tmp_path: Path, data: bytes, resets: bool
 ) -> None:
-    """Discovery has written the change, so it counts as told, whatever ends the watch in the same moment."""
-    async with OneWord(said, resets).serve() as discovery, watching(tmp_path, discovery.address) as revisions:
+    """Discovery has sent the change, so it counts as delivered, however the watch ends right after it."""
+    async with (
+        ClosingDiscovery(data, resets).serve() as discovery,
+        watch_revisions(tmp_path, discovery.address) as revisions,
+    ):
         await until(lambda: len(discovery.connections) == 2)  # the first watch has ended
         assert revisions == [7]
 
 
-async def test_the_old_watch_counts_until_the_new_one_has_brought_a_whole_line(
+async def test_the_old_watch_counts_until_the_new_one_has_sent_a_complete_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A new stream that stops in the middle of its first object knows nothing yet."""
+    """A new stream that stops in the middle of its first object has delivered no list."""
     monkeypatch.setattr(clock, "HEARTBEAT_INTERVAL_S", 0.1)
     monkeypatch.setattr(clock, "HEARTBEAT_SLACK_S", 0.1)
-    async with Held().serve() as discovery, watching(tmp_path, discovery.address) as revisions:
+    async with (
+        ManualDiscovery().serve() as discovery,
+        watch_revisions(tmp_path, discovery.address) as revisions,
+    ):
         await until(lambda: len(discovery.connections) == 1)
         (old_reader, old), *_ = discovery.connections
         Discovery.write_line(old, member_list(3, []))
-        await until(lambda: len(discovery.connections) == 2)  # silent for too long
+        await until(lambda: len(discovery.connections) == 2)  # the first has been silent for too long
         discovery.connections[1][1].write(chunk(HALF))
-        await until(lambda: len(discovery.connections) == 3)  # that one has stopped, too
+        await until(lambda: len(discovery.connections) == 3)  # the second has stopped, too
         Discovery.write_line(old, member_list(5, []))
         await until(lambda: revisions == [3, 5])
         Discovery.write_line(discovery.connections[2][1], CHANGE)
         await until(lambda: revisions == [3, 5, 7])
-        assert await old_reader.read() == b""  # closed now
+        assert await old_reader.read() == b""  # closed by the sidecar
 
 
-async def test_a_call_that_was_slow_to_bring_its_list_counts_beside_a_further_one(
+async def test_a_call_with_a_slow_list_still_counts_beside_a_newer_call(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A long list over a slow network is not asked for again and again, and never taken."""
+    """Otherwise a long list over a slow network would be requested repeatedly and never applied."""
     monkeypatch.setattr(clock, "HEARTBEAT_INTERVAL_S", 0.1)
     monkeypatch.setattr(clock, "HEARTBEAT_SLACK_S", 0.1)
-    async with Held().serve() as discovery, watching(tmp_path, discovery.address) as revisions:
+    async with (
+        ManualDiscovery().serve() as discovery,
+        watch_revisions(tmp_path, discovery.address) as revisions,
+    ):
         for count in (1, 2, 3, 4):
             await until(lambda count=count: len(discovery.connections) >= count)  # type: ignore[misc]
             discovery.connections[0][1].write(chunk(LINE[count - 1 : count]))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,5 +1,5 @@
-"""Steps of the wall clock, either way, under a running sidecar and across its restart: orders, drains, pins
-and told deadlines hold. Real processes, judged by what the servers beside them get."""
+"""Steps of the wall clock in either direction, while a sidecar runs and across a restart: orders, drains,
+pins and deadlines hold. Uses real processes, checked by the requests that the servers receive."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
     raw_call,
     until,
 )
-from tests.stepped_clock import NO_BOOT_ID, Stepper
+from tests.stepped_clock import NO_BOOT_ID, ClockStepper
 from tests.support import SECOND, raw_settings
 
 STEPS_S = [-3600.0, -5.0, 5.0, 3600.0]
 LONG_WINDOW = [dict(row, **{"dedup-window-ns": 30 * SECOND}) for row in raw_settings()["request-classes"]]
-BUSY_S = 2.0  # that a busy machine may be late; any of the steps moves a deadline by more
-CALLS = 20  # with even odds, one server in two gets none of them once in a million times
+BUSY_MACHINE_SLACK_S = 2.0  # for late answers on a busy machine; shorter than any step
+CALLS = 20  # at even odds, one of two servers gets none once in 2**20 runs
 
 pytestmark = pytest.mark.parametrize("step_s", STEPS_S)
 
 
 @asynccontextmanager
-async def stepped(folder: Path) -> AsyncIterator[tuple[Fleet, Stepper]]:
-    """One sidecar, whose wall clock can be stepped."""
-    stepper = Stepper(folder)
+async def stepped_sidecar(folder: Path) -> AsyncIterator[tuple[Fleet, ClockStepper]]:
+    """A fleet of one sidecar whose wall clock can be stepped."""
+    stepper = ClockStepper(folder)
     async with fleet(folder, 1) as it:
         it.module, it.env = "tests.stepped_clock", stepper.env
         yield it, stepper
 
 
-async def served(it: Fleet, server: Endpoint, count: int = CALLS, process: int = 0) -> int:
-    """How many requests reach a server while so many are answered; one that is refused comes again, as a
-    client's would."""
+async def count_served(it: Fleet, server: Endpoint, count: int = CALLS, process: int = 0) -> int:
+    """The number of requests that reach a server while `count` are answered; refused ones are repeated, as a
+    client would."""
     before, statuses = len(server.requests), list[int]()
     while statuses.count(200) < count:
         statuses.append(await it.request(process, f"r{len(statuses)}-{monotonic()}"))
@@ -65,11 +65,11 @@
     return int(row[0]) if row else 0
 
 
-async def test_orders_given_after_a_step_hold_and_so_they_do_after_a_restart(
+async def test_orders_given_after_a_clock_step_hold_before_and_after_a_restart(
     tmp_path: Path, step_s: float
 ) -> None:
     one, two = Endpoint(OK), Endpoint(OK)
-    async with one.serve(), two.serve(), stepped(tmp_path) as (it, clock):
+    async with one.serve(), two.serve(), stepped_sidecar(tmp_path) as (it, clock):
         rows = [member("s-0", one.address), member("s-1", two.address)]
         async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
@@ -77,24 +77,24 @@
             assert (await it.ask(0, "ENABLE s-0")).startswith("SUCCESS")
             clock.step_to(step_s)
             assert (await it.ask(0, "DISABLE s-0")).startswith("SUCCESS")
-            assert await served(it, one) == 0
+            assert await count_served(it, one) == 0
             await it.kill(0)
             await it.start(0, discovery.address, rows)
             assert await it.ask(0, "STATE") == "SUCCESS store sailbridge-n0.sqlite schema 2; 1 out: s-0"
-            assert await served(it, one) == 0
+            assert await count_served(it, one) == 0
             clock.step_to(0.0)
             assert (await it.ask(0, "ENABLE s-0")).startswith("SUCCESS")
-            assert await served(it, one, count=3 * CALLS) > 0
+            assert await count_served(it, one, count=3 * CALLS) > 0
             await it.kill(0)
             await it.start(0, discovery.address, rows)
-            assert await served(it, one, count=3 * CALLS) > 0
+            assert await count_served(it, one, count=3 * CALLS) > 0
 
 
-async def test_what_drained_before_a_step_gets_nothing_after_a_restart_with_discovery_down(
+async def test_a_server_drained_before_a_step_gets_no_request_after_a_restart_without_discovery(
     tmp_path: Path, step_s: float
 ) -> None:
     drains, stays = Endpoint(OK), Endpoint(OK)
-    async with drains.serve(), stays.serve(), stepped(tmp_path) as (it, clock):
+    async with drains.serve(), stays.serve(), stepped_sidecar(tmp_path) as (it, clock):
         rows = [member("s-0", drains.address), member("s-1", stays.address)]
         later = member_list(3, [rows[0] | {"phase": "draining"}, rows[1]])
         async with StaticDiscovery(later).serve() as discovery:
@@ -102,18 +102,18 @@
             await until(lambda: stored(it.home(0), "SELECT revision FROM list_heads") == 3)
             await it.kill(0)
         clock.step_to(step_s)
-        await it.start(0, discovery.address, rows)  # which refuses every call now; `known` has both as up
-        assert await served(it, drains) == 0
+        await it.start(0, discovery.address, rows)  # discovery is down now; `known` has both as up
+        assert await count_served(it, drains) == 0
 
 
 @pytest.mark.parametrize("boot_known", [True, False])
-async def test_a_key_stays_in_its_zone_over_a_restart_with_a_step(
+async def test_a_key_stays_in_its_zone_across_a_restart_with_a_clock_step(
     tmp_path: Path, step_s: float, boot_known: bool
 ) -> None:
     release = asyncio.Event()
     near, far = Endpoint(OK), Endpoint(held_until(release))
     changes: dict[str, Any] = {"request_classes": LONG_WINDOW}
-    async with near.serve(), far.serve(), stepped(tmp_path) as (it, clock):
+    async with near.serve(), far.serve(), stepped_sidecar(tmp_path) as (it, clock):
         it.env |= {} if boot_known else {NO_BOOT_ID: "1"}
         rows = [member("s-0", near.address), member("s-1", far.address, locality="west")]
         data = raw_call("keyed", left_ms=2000, headers="Idempotency-Key: it\r\n")
@@ -131,13 +131,15 @@
             discovery.line = member_list(3, rows)
             await it.start(0, discovery.address, rows, revision=3, **changes)
             statuses = [(await exchange(it.listen[0], data)).status for _ in range(CALLS)]
-            assert statuses.count(200) >= 0.8 * CALLS  # of a busy machine some are refused
+            assert statuses.count(200) >= 0.8 * CALLS  # on a busy machine some are refused
             assert not near.requests and len(far.requests) > 0.8 * CALLS
 
 
-async def test_a_step_moves_no_deadline_of_a_request_that_waits(tmp_path: Path, step_s: float) -> None:
+async def test_a_clock_step_does_not_move_the_deadline_of_a_waiting_request(
+    tmp_path: Path, step_s: float
+) -> None:
     silent = Endpoint(held_until(asyncio.Event()))
-    async with silent.serve(), stepped(tmp_path) as (it, clock):
+    async with silent.serve(), stepped_sidecar(tmp_path) as (it, clock):
         rows = [member("s-0", silent.address)]
         async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
@@ -146,14 +148,14 @@
             await until(lambda: len(silent.requests) == 1)
             clock.step_to(step_s)
             assert await waiting >= 500
-            assert 0.4 < monotonic() - began < 0.5 + BUSY_S
+            assert 0.4 < monotonic() - began < 0.5 + BUSY_MACHINE_SLACK_S
 
 
-async def test_two_processes_of_an_upgrade_with_a_step_between_their_starts_follow_each_others_orders(
+async def test_two_processes_of_an_upgrade_follow_each_others_orders_despite_a_step_between_their_starts(
     tmp_path: Path, step_s: float
 ) -> None:
     one, two = Endpoint(OK), Endpoint(OK)
-    async with one.serve(), two.serve(), stepped(tmp_path) as (it, clock):
+    async with one.serve(), two.serve(), stepped_sidecar(tmp_path) as (it, clock):
         rows = [member("s-0", one.address), member("s-1", two.address)]
         async with StaticDiscovery(member_list(2, rows)).serve() as discovery:
             await it.start(0, discovery.address, rows)
@@ -164,8 +166,8 @@
             for process, other in ((0, 9), (9, 0)):
                 assert (await it.ask(process, "DISABLE s-0")).startswith("SUCCESS")
                 assert (await it.ask(other, "STATE")).endswith("1 out: s-0")
-                assert await served(it, one, process=other) == 0
+                assert await count_served(it, one, process=other) == 0
                 assert (await it.ask(other, "ENABLE s-0")).startswith("SUCCESS")
                 assert (await it.ask(process, "STATE")).endswith("0 out:")
             assert (await it.ask(0, "DISABLE s-0")).startswith("SUCCESS")
-            assert await served(it, one, process=9) == 0
+            assert await count_served(it, one, process=9) == 0
--- a/tests/virtual_channel.py
+++ b/tests/virtual_channel.py
@@ -1,4 +1,4 @@
-"""Connections to discovery in memory, for tests on a virtual clock."""
+"""In-memory connections to discovery, for tests on a virtual clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StreamChannel:
-    """In place of anisespool.discovery.channel.Channel, over a reader and a writer."""
+    """Replaces anisespool.discovery.channel.Channel, over a reader and a writer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: Any, on_data: Callable[[bytes], None]) -> None:
         self._reader, self._writer, self._on_data = reader, writer, on_data
@@ -25,15 +25,15 @@
         while data := await self._reader.read(READ_BYTES):
             self._on_data(data)
 
-    def look(self) -> None:
-        """Nothing comes ahead of the loop here."""
+    def read_pending(self) -> None:
+        """There is no socket buffer to read ahead of the event loop."""
 
     def close(self) -> None:
         self._writer.transport.abort()
 
 
-def opening(connect: Connect) -> Callable[..., Awaitable[StreamChannel]]:
-    """In place of anisespool.discovery.channel.open_channel."""
+def channel_opener(connect: Connect) -> Callable[..., Awaitable[StreamChannel]]:
+    """Returns a replacement for anisespool.discovery.channel.open_channel."""
 
     async def open_channel(address: Address, on_data: Callable[[bytes], None]) -> StreamChannel:
         reader, writer = await connect(*address)
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery in memory on a virtual clock: real watches against faults that come and go at set times."""
+"""In-memory discovery on a virtual clock: real watches against faults that start and end at set times."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 from anisespool.discovery.watch import AddressChange, Watch
 from tests.net import member, member_list
 from tests.scale_fleet import virtual
-from tests.virtual_channel import opening
+from tests.virtual_channel import channel_opener
 
 ADDRESS = Address("discovery", 80)
 NAMES = NameIndex({}, {}, {}, {}, 0)
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-EMPTY = b"1\r\n\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+SERVICE_UNAVAILABLE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+EMPTY_LINE = b"1\r\n\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-ASK_WITHIN_S = 10.0  # by the settings
-SIGN_S = 2.0  # between two empty lines of a watch
-QUEUE_S = 2.0  # a call waits no longer
+ASK_WITHIN_S = 10.0  # the setting ask-within-ns
+HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines of a watch
+MAX_QUEUE_S = 2.0  # longest time that a call spends in the queue
 
 
 class Fault(Enum):
-    """What becomes of a call."""
+    """How discovery responds to a call."""
 
     NONE = "answered, after its time in the queue"
     REFUSED = "503 at once"
-    REFUSED_LATE = "503 after the longest wait in the queue"
+    REFUSED_LATE = "503 after the longest time in the queue"
     RESET = "reset at once"
-    HANG = "no byte, ever"
-    HEAD_ONLY = "a head, and then nothing"
-    MID_OBJECT = "half an object, and then nothing"
-    TRICKLE = "an object that comes a byte a second"
-    CLEAN_END = "a head and the last chunk"
+    HANG = "no response at all"
+    HEAD_ONLY = "only the response head"
+    MID_OBJECT = "half an object and no more"
+    TRICKLE = "an object sent at one byte a second"
+    CLEAN_END = "the response head and the last chunk"
 
 
 class Phase(NamedTuple):
-    """So long each call meets this fault."""
+    """A period in which each call meets this fault."""
 
     fault: Fault
     duration_s: float
@@ -61,21 +61,21 @@
 
 
 class Connection:
-    """Both ends of one call."""
+    """Both ends of one call to discovery."""
 
     def __init__(self, discovery: VirtualDiscovery, address: Address) -> None:
         self.reader = asyncio.StreamReader()
-        self.transport = self  # as of a StreamWriter
+        self.transport = self  # in place of StreamWriter.transport
         self.address, self._discovery, self.open = address, discovery, True
 
     def write(self, data: bytes) -> None:
-        self._discovery.take(self)
+        self._discovery.handle_call(self)
 
     def abort(self) -> None:
         self.open = False
-        self._discovery.watching.discard(self)
+        self._discovery.watches.discard(self)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if self.open:
             self.reader.feed_data(data)
 
@@ -90,56 +90,56 @@
 
 class VirtualDiscovery:
     def __init__(self, queue_s: float = 0.0) -> None:
-        """Each call that is answered has waited `queue_s`."""
+        """`queue_s`: time that each answered call spends in the queue."""
         self.queue_s, self.revision = queue_s, 1
         self.phases: list[Phase] = []
-        self.phases_from_s = 0.0
+        self.phases_began_s = 0.0
         self.calls: list[float] = []
-        self.watching: set[Connection] = set()
-        self.closed: set[Address] = set()  # no new connection there
-        self.silent = False  # the watches of now
+        self.watches: set[Connection] = set()
+        self.closed_addresses: set[Address] = set()  # refuse new connections
+        self.silent = False  # whether open watches get no changes
 
     async def connect(self, host: str, port: int) -> tuple[asyncio.StreamReader, Connection]:
-        if Address(host, port) in self.closed:
+        if Address(host, port) in self.closed_addresses:
             raise ConnectionRefusedError
         connection = Connection(self, Address(host, port))
         return connection.reader, connection
 
-    def fails(self, phases: list[Phase]) -> float:
-        """From now on, one after the other; the seconds until discovery can be reached again."""
-        self.phases, self.phases_from_s = phases, asyncio.get_running_loop().time()
+    def set_faults(self, phases: list[Phase]) -> float:
+        """Start these phases, one after the other; returns the seconds until discovery is reachable again."""
+        self.phases, self.phases_began_s = phases, asyncio.get_running_loop().time()
         return sum(phase.duration_s for phase in phases)
 
     def _fault(self) -> Fault:
-        since_s = asyncio.get_running_loop().time() - self.phases_from_s
+        elapsed_s = asyncio.get_running_loop().time() - self.phases_began_s
         for fault, duration_s in self.phases:
-            if since_s < duration_s:
+            if elapsed_s < duration_s:
                 return fault
-            since_s -= duration_s
+            elapsed_s -= duration_s
         return Fault.NONE
 
-    def take(self, connection: Connection) -> None:
+    def handle_call(self, connection: Connection) -> None:
         loop = asyncio.get_running_loop()
         self.calls.append(loop.time())
         fault = self._fault()
         if fault is Fault.NONE:
             self.serve(connection)
         elif fault is Fault.REFUSED:
-            connection.say(BUSY)
+            connection.send(SERVICE_UNAVAILABLE)
         elif fault is Fault.REFUSED_LATE:
-            loop.call_later(QUEUE_S, connection.say, BUSY)
+            loop.call_later(MAX_QUEUE_S, connection.send, SERVICE_UNAVAILABLE)
         elif fault is Fault.RESET:
             connection.reset()
         elif fault is Fault.HEAD_ONLY:
-            connection.say(HEAD)
+            connection.send(RESPONSE_HEAD)
         elif fault is Fault.MID_OBJECT:
-            connection.say(HEAD + chunk(change(self.revision)[:20]))
+            connection.send(RESPONSE_HEAD + chunk(change(self.revision)[:20]))
         elif fault is Fault.TRICKLE:
-            connection.say(HEAD)
+            connection.send(RESPONSE_HEAD)
             for n in range(60):
-                loop.call_later(n, connection.say, chunk(b'{"revision": '[n : n + 1] or b" "))
+                loop.call_later(n, connection.send, chunk(b'{"revision": '[n : n + 1] or b" "))
         elif fault is Fault.CLEAN_END:
-            connection.say(HEAD + LAST_CHUNK)
+            connection.send(RESPONSE_HEAD + LAST_CHUNK)
             connection.end()
 
     def serve(self, connection: Connection) -> None:
@@ -147,43 +147,43 @@
 
     def answer(self, connection: Connection) -> None:
         if connection.open:
-            connection.say(HEAD + chunk(change(self.revision)))
-            self.watching.add(connection)
+            connection.send(RESPONSE_HEAD + chunk(change(self.revision)))
+            self.watches.add(connection)
 
-    def changes(self) -> None:
-        """A change, written at once to each watch that is not silent."""
+    def publish_change(self) -> None:
+        """Send a change at once to each watch that is not silent."""
         self.revision += 1
         if not self.silent:
-            for connection in self.watching:
-                connection.say(chunk(change(self.revision)))
+            for connection in self.watches:
+                connection.send(chunk(change(self.revision)))
 
     def fall_silent(self) -> None:
-        self.watching.clear()
+        self.watches.clear()
 
     def reset_all(self) -> None:
-        for connection in list(self.watching):
+        for connection in list(self.watches):
             connection.reset()
-        self.watching.clear()
+        self.watches.clear()
 
     def end_all(self) -> None:
-        for connection in list(self.watching):
-            connection.say(LAST_CHUNK)
+        for connection in list(self.watches):
+            connection.send(LAST_CHUNK)
             connection.end()
-        self.watching.clear()
+        self.watches.clear()
 
-    async def sign(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(SIGN_S)
-            for connection in list(self.watching):
-                connection.say(EMPTY)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            for connection in list(self.watches):
+                connection.send(EMPTY_LINE)
 
 
 class Sidecar:
-    """A real watch, and when each revision came into force."""
+    """A real watch, and when each revision was applied."""
 
     def __init__(self, fleet_size: int) -> None:
-        self.at: dict[int, float] = {}
-        self._news = asyncio.Event()
+        self.applied_at: dict[int, float] = {}
+        self._updated = asyncio.Event()
         known = NAMES.member_list(member_list(1, [member("s-0", Address("127.0.0.1", 1))]))
         self.watch = Watch(ADDRESS, NAMES, known, fleet_size, int(ASK_WITHIN_S * 1e9), self._on_list)
         self.moves = asyncio.Queue[AddressChange]()
@@ -193,23 +193,22 @@
         self.moves.put_nowait(AddressChange(address, asyncio.get_running_loop().time()))
 
     def _on_list(self, update: MemberList) -> None:
-        self.at.setdefault(update.revision, asyncio.get_running_loop().time())
+        self.applied_at.setdefault(update.revision, asyncio.get_running_loop().time())
+        self._updated.set()
 
-        self._news.set()
-
-    async def told(self, revision: int, by_s: float) -> float:
-        """When it had that list, or infinity where not by then."""
+    async def wait_for_revision(self, revision: int, by_s: float) -> float:
+        """The time at which this revision was applied, or infinity if it was not by `by_s`."""
         with suppress(TimeoutError):
             async with asyncio.timeout_at(by_s):
-                while revision not in self.at:
-                    self._news.clear()
-                    await self._news.wait()
-        return self.at.get(revision, float("inf"))
+                while revision not in self.applied_at:
+                    self._updated.clear()
+                    await self._updated.wait()
+        return self.applied_at.get(revision, float("inf"))
 
 
 @contextmanager
 def _in_memory(discovery: VirtualDiscovery) -> Iterator[None]:
-    """Only the clock, the connections and the log are replaced."""
+    """Replaces only the clock, the connections and the log."""
     loop = asyncio.get_running_loop()
     with ExitStack() as stack:
         for name, module in list(sys.modules.items()):
@@ -218,23 +217,23 @@
                                             ("log_error", lambda *_: None)):  # fmt: skip
                     if hasattr(module, attribute):
                         stack.enter_context(mock.patch.object(module, attribute, stand_in))
-        stack.enter_context(mock.patch.object(stream, "open_channel", opening(discovery.connect)))
+        stack.enter_context(mock.patch.object(stream, "open_channel", channel_opener(discovery.connect)))
         yield
 
 
-def play(scene: Callable[[Any], Coroutine[Any, Any, Any]], seed: int = 1,
-         discovery_of: Callable[[], VirtualDiscovery] = VirtualDiscovery) -> Any:  # fmt: skip
-    """The result of the scene, on a clock of its own, with all draws from `seed`."""
+def run_virtual(scenario: Callable[[Any], Coroutine[Any, Any, Any]], seed: int = 1,
+         make_discovery: Callable[[], VirtualDiscovery] = VirtualDiscovery) -> Any:  # fmt: skip
+    """The result of the scenario, on its own virtual clock, with all random draws from `seed`."""
 
     async def main() -> Any:
-        discovery = discovery_of()
+        discovery = make_discovery()
         with _in_memory(discovery):
-            signs = asyncio.create_task(discovery.sign())
-            result = await scene(discovery)
+            heartbeats = asyncio.create_task(discovery.send_heartbeats())
+            result = await scenario(discovery)
             others = asyncio.all_tasks() - {asyncio.current_task()}
             for task in others:
                 task.cancel()
-            await asyncio.gather(signs, *others, return_exceptions=True)
+            await asyncio.gather(heartbeats, *others, return_exceptions=True)
         return result
 
     state = random.getstate()
