--- a/tests/disk.py
+++ b/tests/disk.py
@@ -1,5 +1,5 @@
-"""A disk that fails for a while: for a real process a limit on the size of its files, which its parent lifts
-again; in this process SQLite's own calls, which raise what SQLite raises."""
+"""Simulates disk failures: for a sidecar process with a file size limit that its parent sets and removes, and
+in the test process by raising SQLite's errors from its calls."""
 
 from __future__ import annotations
 
@@ -24,50 +24,50 @@
 IO_ERROR = sqlite3.SQLITE_IOERR, "disk I/O error"
 READ_ONLY = sqlite3.SQLITE_READONLY, "attempt to write a readonly database"
 CORRUPT = sqlite3.SQLITE_CORRUPT, "database disk image is malformed"
-WRITES = r"BEGIN|COMMIT"
-READS = r"PRAGMA data_version|SELECT"
+WRITE_STATEMENTS = r"BEGIN|COMMIT"
+READ_STATEMENTS = r"PRAGMA data_version|SELECT"
 Failure = tuple[int, str]
 
 
-def fill(it: Fleet, n: int) -> None:
-    """No commit of sidecar N can add to the store's log from now on."""
-    full = Path(f"{store_path(it.home(n), f'n{n}')}-wal").stat().st_size
-    resource.prlimit(it.processes[n].pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))
+def fill_disk(sidecars: Fleet, n: int) -> None:
+    """Prevents any commit of sidecar N from growing the write-ahead log of its store."""
+    full = Path(f"{store_path(sidecars.home(n), f'n{n}')}-wal").stat().st_size
+    resource.prlimit(sidecars.processes[n].pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))
 
 
-def free(it: Fleet, n: int) -> None:
-    """The disk of sidecar N has recovered."""
+def free_disk(sidecars: Fleet, n: int) -> None:
+    """Removes the file size limit of sidecar N."""
     unlimited = resource.RLIM_INFINITY
-    resource.prlimit(it.processes[n].pid, resource.RLIMIT_FSIZE, (unlimited, unlimited))
+    resource.prlimit(sidecars.processes[n].pid, resource.RLIMIT_FSIZE, (unlimited, unlimited))
 
 
 def stored_orders(path: Path) -> dict[str, bool]:
-    """The servers with an order in the file, and whether they are out; as another process reads it."""
+    """Returns the servers with an order and whether each is out, read on a separate connection."""
     try:
         with closing(sqlite3.connect(f"file:{path}?mode=ro", uri=True)) as connection:
             rows = connection.execute("SELECT server, out FROM orders").fetchall()
-    except sqlite3.DatabaseError:  # no file yet, no table, or damaged
+    except sqlite3.DatabaseError:  # the file or table does not exist yet, or the file is damaged
         return {}
     return {server: bool(out) for server, out in rows}
 
 
 class FailingDisk:
-    """While `failure` is set, statements that match `pattern` raise it. COMMIT stands for the end of a
-    transaction, which then stays open, as where the roll-back fails too."""
+    """Raises `failure`, while it is set, from statements that match `pattern`. The pattern COMMIT matches the
+    end of a transaction, which then stays open, as when the rollback fails too."""
 
     def __init__(self) -> None:
         self.failure: Failure | None = None
-        self.pattern = WRITES
+        self.pattern = WRITE_STATEMENTS
         self.failures = self.stalled = 0
-        self._go_on: threading.Event | None = None
+        self._resume: threading.Event | None = None
         self._lock = threading.Lock()
 
-    def fail(self, failure: Failure, pattern: str = WRITES) -> None:
+    def fail(self, failure: Failure, pattern: str = WRITE_STATEMENTS) -> None:
         self.failure, self.pattern = failure, pattern
 
-    def stall(self, go_on: threading.Event, pattern: str) -> None:
-        """Statements that match the pattern wait for the event."""
-        self._go_on, self.pattern = go_on, pattern
+    def stall(self, resume: threading.Event, pattern: str) -> None:
+        """Blocks statements that match the pattern until the event is set."""
+        self._resume, self.pattern = resume, pattern
 
     def recover(self) -> None:
         self.failure = None
@@ -75,9 +75,9 @@
     def check(self, statement: str) -> None:
         if not re.match(self.pattern, statement):
             return
-        if self._go_on and not self._go_on.is_set():
+        if self._resume and not self._resume.is_set():
             self.stalled += 1
-            self._go_on.wait(WAIT_TIMEOUT_S)
+            self._resume.wait(WAIT_TIMEOUT_S)
         failure = self.failure
         if failure is None:
             return
@@ -110,19 +110,21 @@
 
 
 def failing_disk(monkeypatch: pytest.MonkeyPatch) -> FailingDisk:
-    """All stores opened from now on are on it."""
-    it = FailingDisk()
-    monkeypatch.setattr(sqlite3, "connect", partial(sqlite3.connect, factory=partial(FailingConnection, it)))
-    return it
+    """Makes all stores opened from now on use a simulated disk, and returns it."""
+    disk = FailingDisk()
+    monkeypatch.setattr(
+        sqlite3, "connect", partial(sqlite3.connect, factory=partial(FailingConnection, disk))
+    )
+    return disk
 
 
 @asynccontextmanager
-async def running(*works: Awaitable[None]) -> AsyncIterator[None]:
-    """None of them may end meanwhile."""
-    tasks = [asyncio.ensure_future(work) for work in works]
+async def while_running(*coroutines: Awaitable[None]) -> AsyncIterator[None]:
+    """Runs the coroutines in the background; fails if one ends before the block does."""
+    tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
     try:
         yield
-        assert not any(task.done() for task in tasks), "a task ended for good"
+        assert not any(task.done() for task in tasks), "a background task ended unexpectedly"
     finally:
         for task in tasks:
             task.cancel()
--- a/tests/test_disk_ends.py
+++ b/tests/test_disk_ends.py
@@ -1,5 +1,5 @@
-"""What the store keeps over the end of a process on a disk that failed: a planned end, a log of which the
-last write is torn, a checkpoint that fails; and the locks beside it."""
+"""What the store preserves when a process ends on a failing disk: planned shutdown, a torn last write in the
+write-ahead log, a failed checkpoint. Also the lock files next to the store."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.net import StaticDiscovery, free_port, member, member_list, until, write_config
 from tests.test_admin import call
 from tests.test_maintenance import ADDRESS, Process
-from tests.test_stored_list import stored
+from tests.test_stored_list import stored_list
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
 
 @asynccontextmanager
 async def serving(folder: Path, discovery: Address) -> AsyncIterator[tuple[Service, Address]]:
-    """A sidecar in this process, and the operators' address; it ends as by SIGTERM."""
+    """Runs a sidecar in this process and yields it with its admin address; stops it as SIGTERM does."""
     admin = Address("127.0.0.1", free_port())
     env = write_config(folder, discovery, [member("s-0", ADDRESS)])
     env |= {"LB_STATE_DIR": str(folder), "LB_ADMIN_ADDR": "{}:{}".format(*admin)}
@@ -52,13 +52,13 @@
         await task
 
 
-async def test_a_planned_end_stores_what_still_waits_for_the_next_attempt(
+async def test_a_planned_shutdown_stores_pending_writes(
     tmp_path: Path,
     disk: FailingDisk,
     monkeypatch: pytest.MonkeyPatch,
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """The disk has recovered since the last attempt, and the next one is not due yet."""
+    """The disk recovers after the last attempt to write, before the next one is due."""
     monkeypatch.setattr(pending_writes, "RETRY_INITIAL_S", 3600.0)
     lines: list[str] = []
 
@@ -71,22 +71,22 @@
         StaticDiscovery(member_list(2, rows)).serve() as discovery,
         serving(tmp_path, discovery.address) as (service, admin),
     ):
-        await until(lambda: stored(tmp_path)[0] == 2)
+        await until(lambda: stored_list(tmp_path)[0] == 2)
         disk.fail(FULL)
         assert (await call(admin, b"DISABLE s-0\n")).startswith(b"FAILURE")
         discovery.say(member_list(3, [rows[1] | {"phase": "draining"}], False))
         service._sidecar.external.on_pin(PinRow(7, 1, 0, 0, now_ms() + 60_000))
-        for what in ("the list", "the record of pinned keys"):
-            await until(lambda what=what: f"{what} is not stored" in log())  # type: ignore[misc]
+        for message in ("the list", "the record of pinned keys"):
+            await until(lambda message=message: f"{message} is not stored" in log())  # type: ignore[misc]
         disk.recover()
     assert stored_orders(store_path(tmp_path, "n0")) == {"s-0": True}
-    assert stored(tmp_path) == (3, {"s-0": rows[0], "s-1": rows[1] | {"phase": "draining"}})
-    again = Store.open(tmp_path, "n0")
-    assert again and [record.id for record in again.records(PIN)] == ["7"]
-    again.close()
+    assert stored_list(tmp_path) == (3, {"s-0": rows[0], "s-1": rows[1] | {"phase": "draining"}})
+    restarted = Store.open(tmp_path, "n0")
+    assert restarted and [record.id for record in restarted.records(PIN)] == ["7"]
+    restarted.close()
 
 
-async def test_a_planned_end_on_a_disk_that_still_fails_ends_all_the_same(
+async def test_a_planned_shutdown_completes_while_the_disk_still_fails(
     tmp_path: Path, disk: FailingDisk
 ) -> None:
     async with (
@@ -97,114 +97,114 @@
         assert (await call(admin, b"DISABLE s-0\n")).startswith(b"FAILURE")
 
 
-async def test_a_key_that_was_bound_for_longer_is_not_read_back_as_it_was_before(
+async def test_an_extended_pin_is_not_overwritten_by_its_older_stored_record(
     tmp_path: Path, disk: FailingDisk
 ) -> None:
-    """The store has what bound it before, as the later record waits for the disk."""
-    recalled: list[list[int]] = []
+    """The store holds the older record of the key while the newer one waits for the disk."""
+    restored: list[list[int]] = []
     external = ExternalState(Servers({}, 0), lambda event: None)
-    external.restore = lambda state, pins: recalled.append([pin.key for pin in pins])  # type: ignore[method-assign]
+    external.restore = lambda state, pins: restored.append([pin.key for pin in pins])  # type: ignore[method-assign]
     store, now = Store.open(tmp_path, "n0"), now_ms()
     assert store
     for key in (1, 2):
         await store.put([Record(PIN, str(key), now, now + 30_000, f"[{key}, 1, 0, 0]")])
-    it = LearnedState(store, UpgradeLocks(None, "n0"), external, keeps_pins=True)
-    following = asyncio.create_task(it.follow())
-    await until(lambda: recalled == [[1, 2]])
+    learned_state = LearnedState(store, UpgradeLocks(None, "n0"), external, keeps_pins=True)
+    following = asyncio.create_task(learned_state.follow())
+    await until(lambda: restored == [[1, 2]])
     disk.fail(FULL)
-    it.pin(PinRow(1, 1, 0, 0, now + 60_000))
+    learned_state.pin(PinRow(1, 1, 0, 0, now + 60_000))
     await until(lambda: disk.failures > 0)
-    with closing(tables.connect(store.path)) as other:  # the other process gets through
+    with closing(tables.connect(store.path)) as other:  # the other process's write succeeds
         tables.put_records(other, "n0", [Record(PIN, "3", now, now + 30_000, "[3, 1, 0, 0]")])
-    await until(lambda: len(recalled) > 1)
-    assert recalled[1] == [2, 3]
+    await until(lambda: len(restored) > 1)
+    assert restored[1] == [2, 3]
     following.cancel()
     await asyncio.wait([following])
     store.close()
 
 
-async def test_a_start_on_a_disk_that_takes_no_further_file_still_knows_who_is_out(
+async def test_a_start_on_a_disk_that_takes_no_new_file_still_loads_the_orders(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The count of loads cannot be written, but the store can be read."""
-    before = Process(tmp_path, locks=tmp_path)
-    await before.it.order("s-0", True)
+    """The file that counts loads cannot be written, but the store can be read."""
+    before = Process(tmp_path, lock_dir=tmp_path)
+    await before.maintenance.order("s-0", True)
 
     def full(path: Path, text: str) -> int:
         raise OSError(errno.ENOSPC, "No space left on device", str(path))
 
     monkeypatch.setattr(Path, "write_text", full)
-    again = Process(tmp_path, locks=tmp_path)
-    await again.it.load()
-    assert again.out() == {"s-0"}
+    restarted = Process(tmp_path, lock_dir=tmp_path)
+    await restarted.maintenance.load()
+    assert restarted.disabled() == {"s-0"}
 
 
-async def test_a_torn_last_write_costs_none_that_had_its_yes(tmp_path: Path) -> None:
-    """As the end of the machine leaves it: of the frames of a commit that was never answered, some are
-    missing and one is cut."""
-    process = Process(tmp_path, locks=tmp_path)
+async def test_a_torn_last_write_loses_no_acknowledged_order(tmp_path: Path) -> None:
+    """After a machine crash, some frames of an unacknowledged commit are missing in the log, and one is
+    truncated."""
+    process = Process(tmp_path, lock_dir=tmp_path)
     for n in range(5):
-        await process.it.order(f"s-{n}", True)
+        await process.maintenance.order(f"s-{n}", True)
     path = store_path(tmp_path, "n0")
     log = path.with_name(path.name + "-wal")
-    whole = log.read_bytes()
-    await process.it.order("torn", True)
-    torn = log.read_bytes()[: len(whole) + 1_000]
+    intact = log.read_bytes()
+    await process.maintenance.order("torn", True)
+    torn = log.read_bytes()[: len(intact) + 1_000]
     copy = tmp_path / "copy"
     copy.mkdir()
     store_path(copy, "n0").write_bytes(path.read_bytes())
     store_path(copy, "n0").with_name(path.name + "-wal").write_bytes(torn)
-    again = Process(copy)
-    await again.it.load()
-    assert again.out() == {f"s-{n}" for n in range(5)}
+    restarted = Process(copy)
+    await restarted.maintenance.load()
+    assert restarted.disabled() == {f"s-{n}" for n in range(5)}
     assert not list(copy.glob("*.aside-*"))
 
 
-async def test_a_checkpoint_that_fails_costs_no_order_and_no_yes(tmp_path: Path) -> None:
-    """The log takes the order; only its way into the file fails, under another connection's read."""
-    process = Process(tmp_path, locks=tmp_path)
+async def test_a_failed_checkpoint_loses_no_order(tmp_path: Path) -> None:
+    """The order is in the write-ahead log; another connection's read blocks only the checkpoint."""
+    process = Process(tmp_path, lock_dir=tmp_path)
     assert process.store
     process.store._writer.execute("PRAGMA wal_autocheckpoint=1")
     with closing(sqlite3.connect(process.store.path, isolation_level=None)) as reader:
         reader.execute("BEGIN")
         reader.execute("SELECT * FROM orders").fetchall()
         for n in range(8):
-            await process.it.order(f"s-{n}", True)
+            await process.maintenance.order(f"s-{n}", True)
         assert process.store._writer.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchone()[0] == 1  # busy
-    again = Process(tmp_path)
-    await again.it.load()
-    assert len(again.out()) == 8
+    restarted = Process(tmp_path)
+    await restarted.maintenance.load()
+    assert len(restarted.disabled()) == 8
 
 
-def is_found(process: UpgradeLocks) -> bool:
+def detects_other(process: UpgradeLocks) -> bool:
     process.poll()
     return process.has_other
 
 
-async def test_locks_that_could_not_be_had_are_taken_once_their_folder_recovers(
+async def test_locks_are_taken_once_their_folder_becomes_available(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Else the other process of an upgrade never learns of this one, and does not follow its orders."""
+    """Without the locks, the other process of an upgrade would not detect this one or follow its orders."""
     monkeypatch.setattr(upgrade_locks, "POLL_INTERVAL_S", 0.01)
     monkeypatch.setattr(upgrade_locks, "REOPEN_INTERVAL_S", 0.01, raising=False)
     folder = tmp_path / "later"
-    late = UpgradeLocks(folder, "n0")
-    following = asyncio.create_task(late.follow())
+    delayed = UpgradeLocks(folder, "n0")
+    following = asyncio.create_task(delayed.follow())
     await asyncio.sleep(0.1)
     folder.mkdir()
     other = UpgradeLocks(folder, "n0")
     try:
-        await until(lambda: late.has_other or is_found(other))
+        await until(lambda: delayed.has_other or detects_other(other))
     finally:
         following.cancel()
-        late.close()
+        delayed.close()
         other.close()
     err = capfd.readouterr().err
     assert err.count("cannot detect another process") == err.count("the lock files are open") == 1
 
 
-def test_what_is_merged_twice_is_stored_once(tmp_path: Path) -> None:
-    """A write whose commit stood, though it seemed to fail, is done again without harm."""
+def test_merging_the_same_orders_twice_is_idempotent(tmp_path: Path) -> None:
+    """A write that committed although it reported an error is retried; the retry must change nothing."""
     store = Store.open(tmp_path, "n0")
     assert store
     rows = {"s-0": Order(True, now_ms())}
--- a/tests/test_drain_restart.py
+++ b/tests/test_drain_restart.py
@@ -11,7 +11,7 @@
 from tests.fleet import Fleet, fleet
 from tests.net import StaticDiscovery, member, member_list, until
 from tests.observer import Observer, Server
-from tests.test_stored_list import stored
+from tests.test_stored_list import stored_list
 
 UNREACHABLE = Address("127.0.0.1", 9)  # in place of a discovery that is down
 CALLS = 20
@@ -44,7 +44,7 @@
         told = member_list(revision, [*out, known[1]], complete=how != "removed")
         async with StaticDiscovery(told).serve() as discovery:
             await it.start(0, discovery.address, known)
-            await until(lambda: stored(it.home(0))[0] == revision)
+            await until(lambda: stored_list(it.home(0))[0] == revision)
             observer.record_list(member_list(1, known))
             observer.record_list(told)
             await until(lambda: observer.grace_is_over)
@@ -79,9 +79,9 @@
         anew = [known[0] | {"up_since_ms": 1}, known[1]]
         async with StaticDiscovery(member_list(10, anew)).serve() as discovery:
             await it.start(0, discovery.address, known)
-            await until(lambda: stored(it.home(0))[0] == 10)
+            await until(lambda: stored_list(it.home(0))[0] == 10)
             assert (await count_served(it, observer, "anew"))["s-0"] == 0
             discovery.say(member_list(11, [known[0] | {"phase": "draining"}], False))
             discovery.say(member_list(12, [known[0] | {"up_since_ms": 2}], False))
-            await until(lambda: stored(it.home(0))[0] == 12)
+            await until(lambda: stored_list(it.home(0))[0] == 12)
             assert (await count_served(it, observer, "again"))["s-0"] == 0
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Each fault has a remedy, and the page for staff on call lists just those that the code has."""
+"""Each fault has a remedy, and the on-call page lists exactly the faults and remedies in the code."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 PAGE = Path(__file__).parent.parent / "docs/on-call.md"
 
 
-def kinds(of: type[errors.Fault]) -> set[type[errors.Fault]]:
-    return {of}.union(*(kinds(each) for each in of.__subclasses__()))
+def fault_types(root: type[errors.Fault]) -> set[type[errors.Fault]]:
+    return {root}.union(*(fault_types(each) for each in root.__subclasses__()))
 
 
-def test_the_page_for_staff_on_call_lists_every_fault_with_its_remedy() -> None:
+def test_the_on_call_page_lists_every_fault_with_its_remedy() -> None:
     section = PAGE.read_text().partition("## Errors and what to do")[2].partition("\n## ")[0]
     rows = dict(re.findall(r"^\| `(\w+)` \|[^|]*\| (.*?) \|$", section, re.MULTILINE))
-    faults = {kind.__name__: kind.remedy for kind in kinds(errors.Fault) if kind.remedy}
+    faults = {fault.__name__: fault.remedy for fault in fault_types(errors.Fault) if fault.remedy}
     assert rows == faults
     assert set(faults) <= set(errors.__all__)
 
 
-def test_a_line_of_the_log_is_one_line_and_names_the_fault_and_what_to_do(
+def test_a_log_entry_is_one_line_with_the_fault_and_its_remedy(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     log.log_error("state", errors.StoreBusy("cannot be written:\nlocked"))
--- a/tests/test_failing_records.py
+++ b/tests/test_failing_records.py
@@ -1,4 +1,4 @@
-"""What waits for a disk that fails for a while, but for orders: pins, what was learned and the list."""
+"""Pins, learned records and the list that wait to be written while the disk fails temporarily."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from anisespool.state.persisted_rows import LearnedRow, PersistedState, PinRow
 from anisespool.state.store import Store, now_ms
 from anisespool.upgrade_locks import UpgradeLocks
-from tests.disk import FULL, IO_ERROR, FailingDisk, failing_disk, running
+from tests.disk import FULL, IO_ERROR, FailingDisk, failing_disk, while_running
 from tests.net import member, member_list, until
 from tests.test_maintenance import ADDRESS
-from tests.test_stored_list import stored
+from tests.test_stored_list import stored_list
 
 MINUTE_MS = 60_000
 
 
 @pytest.fixture
 def disk(monkeypatch: pytest.MonkeyPatch) -> FailingDisk:
-    """All stores opened from now on are on it."""
+    """The simulated disk of all stores opened from now on."""
     return failing_disk(monkeypatch)
 
 
@@ -38,31 +38,31 @@
     monkeypatch.setattr(pending_writes, "RETRY_MAX_S", 0.05)
 
 
-def _memory(store: Store, folder: Path, learned: list[LearnedRow]) -> LearnedState:
+def _make_learned_state(store: Store, folder: Path, rows: list[LearnedRow]) -> LearnedState:
     external = ExternalState(Servers({}, 0), lambda event: None)
-    external.snapshot = lambda: PersistedState(learned, ())  # type: ignore[method-assign]
+    external.snapshot = lambda: PersistedState(rows, ())  # type: ignore[method-assign]
     return LearnedState(store, UpgradeLocks(folder, "n0"), external, keeps_pins=True)
 
 
 @pytest.fixture
 def store(tmp_path: Path, disk: FailingDisk) -> Iterator[Store]:
-    it = Store.open(tmp_path, "n0")
-    assert it
-    yield it
-    it.close()
+    opened = Store.open(tmp_path, "n0")
+    assert opened
+    yield opened
+    opened.close()
 
 
-async def test_pins_and_what_was_learned_are_stored_once_the_disk_recovers_and_while_they_bind(
+async def test_unexpired_pins_and_learned_records_are_stored_once_the_disk_recovers(
     tmp_path: Path, disk: FailingDisk, store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(learned_state, "SNAPSHOT_INTERVAL_S", 0.02)
     now = now_ms()
-    it = _memory(store, tmp_path, [LearnedRow("s-0", 1.5, 0.0, now)])
-    async with running(it.follow()):
+    learned = _make_learned_state(store, tmp_path, [LearnedRow("s-0", 1.5, 0.0, now)])
+    async with while_running(learned.follow()):
         disk.fail(FULL)
         for key in range(5):
-            it.pin(PinRow(key, 1, 0, 2, now + MINUTE_MS))
-        it.pin(PinRow(99, 1, 0, 2, now + 1))  # over by the time that the disk recovers
+            learned.pin(PinRow(key, 1, 0, 2, now + MINUTE_MS))
+        learned.pin(PinRow(99, 1, 0, 2, now + 1))  # expired by the time the disk recovers
         await until(lambda: disk.failures >= 4)
         disk.recover()
         await until(lambda: len(store.records(learned_state.PIN)) == 5)
@@ -71,33 +71,33 @@
         assert connection.execute("SELECT count(*) FROM records WHERE kind = 'pin'").fetchone() == (5,)
 
 
-async def test_what_waits_for_the_disk_is_bounded_by_its_time(
+async def test_pending_pins_are_bounded_by_their_expiry(
     tmp_path: Path, disk: FailingDisk, store: Store
 ) -> None:
-    it = _memory(store, tmp_path, [])
-    async with running(it.follow()):
+    learned = _make_learned_state(store, tmp_path, [])
+    async with while_running(learned.follow()):
         disk.fail(FULL)
         for n in range(2_000):
-            it.pin(PinRow(n % 500, 1, 0, 2, now_ms() + 50))
-        assert it.unwritten <= 500  # one of each key
-        await until(lambda: it.unwritten == 0)
+            learned.pin(PinRow(n % 500, 1, 0, 2, now_ms() + 50))
+        assert learned.unwritten <= 500  # at most one for each key
+        await until(lambda: learned.unwritten == 0)
         assert disk.failures
 
 
 @pytest.mark.parametrize("where", ["INSERT OR REPLACE INTO list_heads", "COMMIT"])
-async def test_a_list_whose_write_failed_half_way_is_stored_whole(
+async def test_a_list_whose_write_failed_halfway_is_stored_completely(
     tmp_path: Path, disk: FailingDisk, store: Store, where: str
 ) -> None:
     rows = [member(f"s-{n}", ADDRESS) for n in range(4)]
-    it = ListSnapshot(store, rows)
-    async with running(it.follow()):
-        it.on_update(member_list(2, rows), MemberList(2, True, ()))
-        await until(lambda: stored(tmp_path)[0] == 2)
+    snapshot = ListSnapshot(store, rows)
+    async with while_running(snapshot.follow()):
+        snapshot.on_update(member_list(2, rows), MemberList(2, True, ()))
+        await until(lambda: stored_list(tmp_path)[0] == 2)
         disk.fail(IO_ERROR, where)
         drained = rows[0] | {"phase": "draining"}
-        it.on_update(member_list(3, [drained], False), MemberList(3, False, ()))
+        snapshot.on_update(member_list(3, [drained], False), MemberList(3, False, ()))
         await until(lambda: disk.failures > 1)
-        assert stored(tmp_path) == (2, {row["id"]: row for row in rows})
+        assert stored_list(tmp_path) == (2, {row["id"]: row for row in rows})
         disk.recover()
-        await until(lambda: stored(tmp_path)[0] == 3)
-        assert stored(tmp_path)[1] == {row["id"]: row for row in [drained, *rows[1:]]}
+        await until(lambda: stored_list(tmp_path)[0] == 3)
+        assert stored_list(tmp_path)[1] == {row["id"]: row for row in [drained, *rows[1:]]}
--- a/tests/test_older_lists.py
+++ b/tests/test_older_lists.py
@@ -20,7 +20,7 @@
 from tests.fleet import Fleet, fleet
 from tests.net import OK, WAIT_TIMEOUT_S, Endpoint, StaticDiscovery, member, member_list, until
 from tests.observer import GRACE_S
-from tests.test_stored_list import stored
+from tests.test_stored_list import stored_list
 
 SERVERS = 4
 REQUESTS = 30
@@ -111,7 +111,7 @@
 ) -> None:
     """After a kill and a restart from its store, the sidecar is sent a list older than the stored one."""
     async with list_scenario(tmp_path, how) as scenario:
-        await until(lambda: stored(scenario.fleet.home(0))[0] == 5)
+        await until(lambda: stored_list(scenario.fleet.home(0))[0] == 5)
         behind = await scenario.serve(member_list(3, scenario.rows))
         await scenario.fleet.kill(0)
         await scenario.fleet.start(0, behind.address, scenario.rows, revision=2)
