--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,7 +109,7 @@
 async def verdict_known(it: Fleet) -> dict[int, float]:
     """Sends requests to sidecars 0 and 1 until both have ejected s-8 on their own evidence. Returns for every
     other sidecar when it ejected s-8, in seconds after the later of the two."""
-    texts = {n: "RESET here" if n < 2 else "by 2 peers" for n in range(8)}
+    texts = {n: "RESET at this sidecar" if n < 2 else "by 2 peers" for n in range(8)}
     at = dict[int, float]()
 
     async def send_until_known(n: int) -> None:
