--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -139,7 +139,7 @@
 async def test_a_task_that_fails_is_logged_and_starts_again(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr("anisespool.supervision.AGAIN_S", 0.0)
+    monkeypatch.setattr("anisespool.supervision.RESTART_DELAY_S", 0.0)
     runs = 0
 
     async def work() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("written", "at_s", "broken"),
+    ("written", "at_s", "violations"),
     [(True, 10.4, []), (True, 10.8, ["drain"]), (False, 16.4, []), (False, 16.8, ["drain"])],
 )
 def test_checker_reports_a_request_after_the_drain_grace(
