--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -42,14 +42,14 @@
     rows = listing.rows.values()
     assert len(rows) == 9_100 and {row["locality"] for row in rows} == set(ZONES)
     assert 0.9 < len(rows) / listing.services / SERVICE_MEAN < 1.1
-    simulate = [listing.change() for _ in range(400)]
-    members = [change["members"][0] for change in simulate]
+    changes = [listing.change() for _ in range(400)]
+    members = [change["members"][0] for change in changes]
     starts = {n: row["up_since_ms"] for n, row in Listing(9_100, 1).rows.items()}
     seen = {"restarted" if row["phase"] == "up" and row["id"] in starts
             else {"up": "added", "draining": "drain"}.get(row["phase"], row["phase"])
             for row in members}  # fmt: skip
     assert seen == set(KINDS)
-    assert [change["revision"] for change in simulate] == list(range(2, 402))
+    assert [change["revision"] for change in changes] == list(range(2, 402))
 
 
 @pytest.mark.parametrize("store", [False, True])
